--- a/crates/gateway/src/fleet/documents.rs
+++ b/crates/gateway/src/fleet/documents.rs
@@ -55,7 +55,7 @@
 pub(crate) async fn serve_documents(gw: Arc<Shared>, listener: TcpListener) {
     serve_small(listener, move |_, target| {
         let encoded = match target {
-            PATH => gw.in_force().map(|force| {
+            PATH => gw.current_config().map(|force| {
                 rmp_serde::to_vec_named(&Document {
                     bytes: force.document.clone(),
                 })
--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/leave.rs
@@ -100,22 +100,22 @@
     gw.announce_to_all();
     log::info!(
         "event=stop outcome=leaving active={}",
-        gw.active.load(Ordering::Relaxed)
+        gw.active_requests.load(Ordering::Relaxed)
     );
     let last = gw.settings.bounds.grace().saturating_sub(MARGIN);
     task::sleep(TAKES.min(last)).await;
-    gw.refuses.store(true, Ordering::SeqCst);
+    gw.rejecting.store(true, Ordering::SeqCst);
     while began.elapsed() < LINGER.min(last) {
         task::sleep(LOOK).await;
     }
     stop.close();
     drop(stop);
-    while gw.active.load(Ordering::Relaxed) > 0 && began.elapsed() < last {
+    while gw.active_requests.load(Ordering::Relaxed) > 0 && began.elapsed() < last {
         task::sleep(LOOK).await;
     }
     log::info!(
         "event=stop outcome=done active={} ms={}",
-        gw.active.load(Ordering::Relaxed),
+        gw.active_requests.load(Ordering::Relaxed),
         began.elapsed().as_millis()
     );
     // The thread that writes log lines has this much to end.
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -14,7 +14,7 @@
             Service, //
         },
         state::{
-            InForce,
+            CurrentConfig,
             Shared, //
         },
     },
@@ -76,7 +76,7 @@
     body: Vec<u8>,
     arrived: Instant,
 ) -> Result<Request, Own> {
-    let Some(force) = gw.in_force() else {
+    let Some(force) = gw.current_config() else {
         return Err(Own::not_run(
             "this instance has no configuration yet; ask another",
             READY_AGAIN,
@@ -136,7 +136,7 @@
 
 /// Finds the workspace that the caller's key stands for.
 fn workspace(
-    force: &InForce,
+    force: &CurrentConfig,
     dialect: &Dialect,
     headers: &Headers,
     route: &Route,
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -109,7 +109,7 @@
     /// Serves requests until the connection ends.
     pub(crate) async fn run(mut self) {
         loop {
-            let limits = match self.gw.in_force() {
+            let limits = match self.gw.current_config() {
                 Some(force) => force.config.limits,
                 None => Limits::default(),
             };
@@ -123,7 +123,7 @@
             }
         }
         if self.closes {
-            let _active = Count::up(&self.gw.active, 1);
+            let _active = Count::up(&self.gw.active_requests, 1);
             self.conn.close().await;
         }
     }
@@ -136,14 +136,14 @@
         };
         self.first_byte(idle).await?;
         let gw = self.gw.clone();
-        let _active = Count::up(&gw.active, 1);
+        let _active = Count::up(&gw.active_requests, 1);
         let head = self.head(&limits).await?;
         let (body, arrived) = self.body(&head, &limits).await?;
-        let _held = Count::up(&gw.bodies, body.len());
+        let _held = Count::up(&gw.body_bytes, body.len());
         let keep = head.keeps();
         self.closes = !keep;
         let id = head.headers.get(gw.dialect.id).map(str::to_owned);
-        let admitted = match gw.refuses.load(Ordering::Relaxed) {
+        let admitted = match gw.rejecting.load(Ordering::Relaxed) {
             true => Err(Own::not_run(
                 "this instance is shutting down",
                 Duration::ZERO,
@@ -204,7 +204,7 @@
         }
         if self
             .gw
-            .bodies
+            .body_bytes
             .load(Ordering::Relaxed)
             .saturating_add(coming)
             > memory
@@ -288,8 +288,8 @@
 
     /// Returns which part of the connections that the instance may have are open.
     fn crowd(&self) -> f64 {
-        let open = self.gw.callers.load(Ordering::Relaxed);
-        open as f64 / self.gw.most_callers().max(1) as f64
+        let open = self.gw.caller_connections.load(Ordering::Relaxed);
+        open as f64 / self.gw.max_connections().max(1) as f64
     }
 
     /// Writes an answer of our own. Returns whether the connection can carry another request.
--- a/crates/gateway/src/serve/server.rs
+++ b/crates/gateway/src/serve/server.rs
@@ -32,7 +32,7 @@
 
 /// Accepts callers for as long as the process runs.
 pub(crate) async fn accept(gw: Arc<Shared>, listener: TcpListener, stop: Receiver<()>) {
-    let most = gw.most_callers();
+    let most = gw.max_connections();
     let mut full = false;
     loop {
         let stream = match listener.accept().await {
@@ -43,7 +43,7 @@
                 continue;
             }
         };
-        let open = gw.callers.load(Ordering::Relaxed);
+        let open = gw.caller_connections.load(Ordering::Relaxed);
         if (open >= most) != full {
             full = open >= most;
             log::warn!("event=accept outcome=full full={full} open={open} most={most}");
@@ -65,11 +65,11 @@
             stop: stop.clone(),
             closes: false,
         };
-        gw.callers.fetch_add(1, Ordering::Relaxed);
+        gw.caller_connections.fetch_add(1, Ordering::Relaxed);
         let gw = gw.clone();
         task::spawn(async move {
             connection.run().await;
-            gw.callers.fetch_sub(1, Ordering::Relaxed);
+            gw.caller_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
@@ -117,10 +117,16 @@
     let values = [
         (
             "chervilwind_active_requests",
-            gw.active.load(Ordering::Relaxed),
+            gw.active_requests.load(Ordering::Relaxed),
+        ),
+        (
+            "chervilwind_callers",
+            gw.caller_connections.load(Ordering::Relaxed),
+        ),
+        (
+            "chervilwind_body_bytes",
+            gw.body_bytes.load(Ordering::Relaxed),
         ),
-        ("chervilwind_callers", gw.callers.load(Ordering::Relaxed)),
-        ("chervilwind_body_bytes", gw.bodies.load(Ordering::Relaxed)),
         ("chervilwind_peers", peers),
         ("chervilwind_active_routers", active),
         ("chervilwind_requests_held", held),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -71,7 +71,7 @@
 
 /// A configuration that is in force, and the bytes it was read from, for peers.
 #[derive(Debug)]
-pub(crate) struct InForce {
+pub(crate) struct CurrentConfig {
     pub(crate) config: Config,
     pub(crate) document: Vec<u8>,
 }
@@ -109,7 +109,7 @@
     pub(crate) store: Store,
     pub(crate) incarnation: Incarnation,
     started: Instant,
-    force: Mutex<Option<Arc<InForce>>>,
+    force: Mutex<Option<Arc<CurrentConfig>>>,
     tables: Mutex<Tables>,
     pub(crate) pool: Pool,
     /// Wakes who speaks to the peers, where something is to be told before its time.
@@ -122,7 +122,7 @@
     /// No new callers are wanted any more.
     pub(crate) leaving: AtomicBool,
     /// Requests are refused, as they might not end before the process must.
-    pub(crate) refuses: AtomicBool,
+    pub(crate) rejecting: AtomicBool,
     /// The list of replicas was read at least once.
     pub(crate) listed: AtomicBool,
     /// The store did not answer this instance's last call.
@@ -130,11 +130,11 @@
     /// The eras of the store that its answers and peers named.
     eras: Mutex<Eras>,
     /// Requests that are being served.
-    pub(crate) active: AtomicUsize,
+    pub(crate) active_requests: AtomicUsize,
     /// Connections of callers.
-    pub(crate) callers: AtomicUsize,
+    pub(crate) caller_connections: AtomicUsize,
     /// Bytes of bodies that are held.
-    pub(crate) bodies: AtomicUsize,
+    pub(crate) body_bytes: AtomicUsize,
 }
 
 impl Shared {
@@ -169,13 +169,13 @@
             urgent: AtomicBool::new(false),
             words: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
-            refuses: AtomicBool::new(false),
+            rejecting: AtomicBool::new(false),
             listed: AtomicBool::new(false),
             store_lost: AtomicBool::new(false),
             eras: Mutex::default(),
-            active: AtomicUsize::new(0),
-            callers: AtomicUsize::new(0),
-            bodies: AtomicUsize::new(0),
+            active_requests: AtomicUsize::new(0),
+            caller_connections: AtomicUsize::new(0),
+            body_bytes: AtomicUsize::new(0),
             settings,
         }
     }
@@ -186,13 +186,14 @@
     }
 
     /// Returns the configuration in force, once there is one.
-    pub(crate) fn in_force(&self) -> Option<Arc<InForce>> {
+    pub(crate) fn current_config(&self) -> Option<Arc<CurrentConfig>> {
         lock(&self.force).clone()
     }
 
     /// Returns the version of the configuration in force, 0 without one.
     pub(crate) fn version(&self) -> u64 {
-        self.in_force().map_or(0, |force| force.config.version)
+        self.current_config()
+            .map_or(0, |force| force.config.version)
     }
 
     /// Has the active routers told at once of what is new here.
@@ -226,7 +227,7 @@
     }
 
     /// Returns how many connections callers may have.
-    pub(crate) fn most_callers(&self) -> usize {
+    pub(crate) fn max_connections(&self) -> usize {
         let all = self.settings.instance.descriptors as usize;
         all.saturating_sub(DESCRIPTORS_LEFT).max(all / 2)
     }
@@ -237,7 +238,7 @@
 
     /// Tells whether this instance can serve.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.listed.load(Ordering::Relaxed) && self.in_force().is_some()
+        !self.is_leaving() && self.listed.load(Ordering::Relaxed) && self.current_config().is_some()
     }
 
     /// Puts a configuration in force, if it can be read and is newer than the one in force.
@@ -266,7 +267,7 @@
         );
         metrics::gauge!("chervilwind_config_version").set(config.version as f64);
         self.tables().quota.set_capacity(config.limits.capacity);
-        *force = Some(Arc::new(InForce { config, document }));
+        *force = Some(Arc::new(CurrentConfig { config, document }));
         true
     }
 
