--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -114,9 +114,9 @@
     tables.speeds.keep(|key| known.contains(&key));
     tables.latencies.keep(|key| known.contains(&key));
     tables.health.retain(|key, _| known.contains(key));
-    tables.heard.retain(|key, _| known.contains(key));
+    tables.last_received.retain(|key, _| known.contains(key));
     tables
-        .cached
+        .cached_prefixes
         .retain(|(key, _), at| known.contains(key) && now.since(*at).as_secs() < CACHED_S);
     drop(tables);
     for id in gone {
--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -184,7 +184,7 @@
                 load: self.board.load(key, now),
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(usual)),
                 cached: self
-                    .cached
+                    .cached_prefixes
                     .get(&(key, home))
                     .map(|at| now.since(*at).as_secs()),
             })
--- a/crates/gateway/src/serve/place.rs
+++ b/crates/gateway/src/serve/place.rs
@@ -72,7 +72,11 @@
     pub(crate) fn silent(&self) -> Duration {
         let now = self.gw.now();
         let tables = self.gw.tables();
-        let heard = tables.heard.get(&self.key).copied().unwrap_or_default();
+        let heard = tables
+            .last_received
+            .get(&self.key)
+            .copied()
+            .unwrap_or_default();
         now.since(heard.max(self.since)).into()
     }
 
@@ -105,7 +109,7 @@
         self.board.start(choice.key, load);
         self.health.entry(choice.key).or_default().sent(now);
         if let Some(home) = prompt.and_then(Prompt::home) {
-            self.cached.insert((choice.key, home), now);
+            self.cached_prefixes.insert((choice.key, home), now);
         }
         let counted = prompt.filter(|_| claim == Claim::New);
         if let (Some(prompt), Some(workspace)) = (counted, &req.workspace) {
@@ -139,7 +143,7 @@
         let mut tables = self.gw.tables();
         tables.board.read(self.key, self.load.unread);
         tables.speeds.note(self.key, self.unread, took);
-        tables.heard.insert(self.key, now);
+        tables.last_received.insert(self.key, now);
         drop(tables);
         self.load.unread = 0;
         self.first = Some(Instant::now());
@@ -159,7 +163,7 @@
     pub(crate) fn heard(&self) {
         let now = self.gw.now();
         let mut tables = self.gw.tables();
-        tables.heard.insert(self.key, now);
+        tables.last_received.insert(self.key, now);
         if !self.is_early() {
             tables.quarantine.answered(self.digest, now);
         }
@@ -181,7 +185,7 @@
         let now = self.gw.now();
         let mut tables = self.gw.tables();
         tables.health.entry(self.key).or_default().answered(ok);
-        tables.heard.insert(self.key, now);
+        tables.last_received.insert(self.key, now);
         if ok {
             tables.quarantine.answered(self.digest, now);
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -85,9 +85,9 @@
     pub(crate) speeds: Speeds,
     pub(crate) latencies: Latencies,
     /// When a prompt's shared part was last sent to a replica.
-    pub(crate) cached: HashMap<(ReplicaKey, u64), Time, FxBuildHasher>,
+    pub(crate) cached_prefixes: HashMap<(ReplicaKey, u64), Time, FxBuildHasher>,
     /// When a replica last sent anything.
-    pub(crate) heard: ReplicaMap<Time>,
+    pub(crate) last_received: ReplicaMap<Time>,
     pub(crate) quota: Quota,
     /// What became of the requests of each workspace, since it was last logged.
     pub(crate) tally: Tally,
@@ -154,8 +154,8 @@
                 health: ReplicaMap::default(),
                 speeds: Speeds::default(),
                 latencies: Latencies::default(),
-                cached: HashMap::default(),
-                heard: ReplicaMap::default(),
+                cached_prefixes: HashMap::default(),
+                last_received: ReplicaMap::default(),
                 quota: Quota::new(window),
                 tally: Tally::default(),
                 budgets: HashMap::new(),
