--- a/crates/gateway/src/model/replica.rs
+++ b/crates/gateway/src/model/replica.rs
@@ -21,7 +21,8 @@
     /// Its id, which a later start may bear again.
     pub id: ReplicaId,
     /// When it started, if it tells; with the id it names this start alone.
-    pub born: Option<Born>,
+    #[serde(rename = "born")]
+    pub started_at: Option<Born>,
     /// What it offers.
     pub service: ServiceId,
     /// Where it listens. Another replica may get the address once this one is gone.
@@ -44,12 +45,12 @@
     ///     "slots":4,"state":"Ready"}"#;
     /// let first: gateway::Replica = serde_json::from_str(text)?;
     /// let mut again = first.clone();
-    /// again.born = Some(policy::Born(1_700_000_000_000));
+    /// again.started_at = Some(policy::Born(1_700_000_000_000));
     /// assert_ne!(first.key(), again.key());
     /// # Ok::<(), serde_json::Error>(())
     /// ```
     pub fn key(&self) -> ReplicaKey {
-        ReplicaKey::of_start(&self.id, self.born)
+        ReplicaKey::of_start(&self.id, self.started_at)
     }
 }
 
--- a/crates/gateway/tests/gateway/stage.rs
+++ b/crates/gateway/tests/gateway/stage.rs
@@ -425,7 +425,7 @@
 pub(crate) fn entry(name: &str, replica: &Replica) -> gateway::Replica {
     gateway::Replica {
         id: name.parse().unwrap(),
-        born: None,
+        started_at: None,
         service: "s".parse().unwrap(),
         addr: replica.addr,
         zone: "z1".parse().unwrap(),
