--- a/crates/gateway/src/model/config.rs
+++ b/crates/gateway/src/model/config.rs
@@ -91,9 +91,9 @@
     /// Longest body, in bytes.
     pub body_bytes: usize,
     /// Time from the first byte of a head to its last.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// How long a kept connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// What all replicas generate and read together, in tokens a second; 0 if not known.
     pub capacity: f64,
 }
@@ -103,8 +103,8 @@
         Limits {
             head_bytes: 16 * 1024,
             body_bytes: 4 * 1024 * 1024,
-            head_time: Duration::from_secs(3),
-            idle: Duration::from_secs(15),
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
             capacity: 0.0,
         }
     }
--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -131,8 +131,8 @@
     /// Serves one request. Returns whether the connection is kept.
     async fn one(&mut self, limits: Limits) -> Result<bool, Stop> {
         let idle = match self.crowd() > FULL {
-            true => limits.idle / 4,
-            false => limits.idle,
+            true => limits.idle_timeout / 4,
+            false => limits.idle_timeout,
         };
         self.first_byte(idle).await?;
         let gw = self.gw.clone();
@@ -179,7 +179,7 @@
 
     async fn head(&mut self, limits: &Limits) -> Result<Head, Stop> {
         let read = self.conn.head(limits.head_bytes, Head::request);
-        match timeout(limits.head_time, read).await {
+        match timeout(limits.head_timeout, read).await {
             Ok(Ok(head)) => Ok(head),
             Ok(Err(ReadError::TooLong(_))) => Err(Stop::Told(
                 Own::status(431, "the head is too long").closing(),
