--- a/crates/gateway/src/model/dialect.rs
+++ b/crates/gateway/src/model/dialect.rs
@@ -25,7 +25,7 @@
     /// Header that tells a replica the workspace.
     pub workspace: &'static str,
     /// Header that names the only replica which may run the request.
-    pub expect: &'static str,
+    pub expected_replica: &'static str,
     /// Header in which a replica says that it did not run the request.
     pub not_run: &'static str,
     /// Header by which a replica signs its answer.
@@ -36,7 +36,7 @@
     pub copy_from: &'static str,
     /// Other headers by which a router orders an engine what to keep, reserve or hand over. A
     /// caller's own would spend memory that all workspaces share.
-    pub orders: &'static [&'static str],
+    pub engine_controls: &'static [&'static str],
     /// Header that tells when to come back, in seconds.
     pub retry_after: &'static str,
     /// Path at which the platform asks whether this instance is ready.
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -174,12 +174,12 @@
     let ours = [
         dialect.key,
         dialect.deadline,
-        dialect.expect,
+        dialect.expected_replica,
         dialect.workspace,
         dialect.copy_from,
         "expect",
     ];
-    for name in ours.iter().chain(dialect.orders) {
+    for name in ours.iter().chain(dialect.engine_controls) {
         headers.remove(name);
     }
 }
--- a/crates/gateway/src/upstream/call.rs
+++ b/crates/gateway/src/upstream/call.rs
@@ -168,7 +168,7 @@
     let mut headers = out.headers.clone();
     let left = out.until.saturating_duration_since(Instant::now());
     headers.push(dialect.deadline, left.as_millis());
-    headers.push(dialect.expect, &replica.id);
+    headers.push(dialect.expected_replica, &replica.id);
     if let Some(workspace) = out.workspace {
         headers.push(dialect.workspace, workspace);
     }
