--- a/crates/gateway/src/fleet/documents.rs
+++ b/crates/gateway/src/fleet/documents.rs
@@ -1,10 +1,10 @@
-//! What peers hand each other on request: the configuration, and the list of replicas.
+//! Documents that peers request from each other: the configuration and the list of replicas.
 //!
-//! The store turns single instances away at times while it serves the others. They hear of a
-//! new version from the words of their peers, and get it from them.
+//! The store sometimes rejects single instances while it serves the others. These learn of a new
+//! version from the messages of their peers, and fetch it from them.
 
 use {
-    super::lists,
+    super::replica_list,
     crate::{
         http::{
             exchange,
@@ -32,35 +32,32 @@
     },
 };
 
-/// Where a peer's configuration is had.
-const PATH: &str = "/configuration";
-/// Where a peer's list of replicas is had.
-pub(super) const LIST_PATH: &str = "/replicas";
-/// How long a peer may take: a megabyte takes 10 ms at the speed of the links.
-const WITHIN: Duration = Duration::from_millis(800);
-/// Time over which peers spread their requests for one document, for each router there is: 170 ms
-/// of the 2 s that a change has where there are 85, so that these do not all connect in the same
-/// millisecond. The figure is reckoned, not measured.
-const SPREAD: Duration = Duration::from_millis(2);
-/// Longest document.
-const MAX: usize = 8 << 20;
+const CONFIG_PATH: &str = "/configuration";
+pub(super) const REPLICAS_PATH: &str = "/replicas";
+/// A megabyte takes 10 ms at the speed of the network.
+const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
+/// Peers delay their request for a new document by a random time up to this for each router of the
+/// fleet, so that they do not all connect in the same millisecond: up to 170 ms with 85 routers, of
+/// the 2 s in which a change must take effect.
+const FETCH_JITTER_PER_ROUTER: Duration = Duration::from_millis(2);
+const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// A configuration as peers hand it on.
+/// A configuration, as it is sent to a peer.
 #[derive(Debug, Serialize, Deserialize)]
-struct Document {
+struct ConfigDocument {
     bytes: Vec<u8>,
 }
 
-/// Hands documents to peers that ask for them.
+/// Serves documents to peers.
 pub(crate) async fn serve_documents(gw: Arc<Shared>, listener: TcpListener) {
     serve_small(listener, move |_, target| {
         let encoded = match target {
-            PATH => gw.current_config().map(|force| {
-                rmp_serde::to_vec_named(&Document {
-                    bytes: force.document.clone(),
+            CONFIG_PATH => gw.current_config().map(|current| {
+                rmp_serde::to_vec_named(&ConfigDocument {
+                    bytes: current.document.clone(),
                 })
             }),
-            LIST_PATH => lists::own(&gw).map(|list| rmp_serde::to_vec(&list)),
+            REPLICAS_PATH => replica_list::local_list(&gw).map(|list| rmp_serde::to_vec(&list)),
             _ => None,
         };
         match encoded {
@@ -75,15 +72,15 @@
     .await;
 }
 
-/// Gets a document of a peer; none, with a line in the log, where it can't be had.
-pub(super) async fn get<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Option<T> {
+/// Fetches a document from a peer. A failure is logged and returns none.
+pub(super) async fn fetch_document<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Option<T> {
     let ask = Ask {
         addr,
         method: "GET",
         target: path.to_owned(),
         body: None,
-        within: WITHIN,
-        max: MAX,
+        within: FETCH_TIMEOUT,
+        max: MAX_DOCUMENT_BYTES,
     };
     let answer = exchange(&mut None, &ask)
         .await
@@ -99,13 +96,14 @@
         .ok()
 }
 
-/// Gets the configuration of a peer, and puts it in force where it is newer.
+/// Fetches the configuration of a peer, and puts it in force if it is newer.
 ///
-/// All peers hear of a new one in the same moment, and the one that told them has few cores.
-pub(crate) async fn fetch(gw: &Shared, addr: SocketAddr) {
+/// All peers learn of a new one at the same moment, and the peer that serves it has few cores, so
+/// the request is delayed by a random time.
+pub(crate) async fn fetch_config(gw: &Shared, addr: SocketAddr) {
     let routers = gw.tables().fleet.count(gw.now()) as u32;
-    task::sleep((SPREAD * routers).mul_f64(fastrand::f64())).await;
-    if let Some(document) = get::<Document>(addr, PATH).await {
-        gw.take_config(document.bytes, &addr.to_string());
+    task::sleep((FETCH_JITTER_PER_ROUTER * routers).mul_f64(fastrand::f64())).await;
+    if let Some(document) = fetch_document::<ConfigDocument>(addr, CONFIG_PATH).await {
+        gw.apply_config(document.bytes, &addr.to_string());
     }
 }
--- a/crates/gateway/src/fleet/mod.rs
+++ b/crates/gateway/src/fleet/mod.rs
@@ -1,9 +1,11 @@
-//! The other routers: who they are, what they run, which configuration they have.
+//! Exchange of state with the other routers of the fleet.
 
-mod beat;
 mod documents;
-mod hear;
-mod lists;
-mod talk;
+mod messages;
+mod receiver;
+mod replica_list;
+mod sender;
 
-pub(crate) use self::{documents::serve_documents, hear::listen, talk::say};
+pub(crate) use self::{
+    documents::serve_documents, receiver::receive_messages, sender::send_messages,
+};
--- /dev/null
+++ b/crates/gateway/src/fleet/receiver.rs
@@ -0,0 +1,240 @@
+//! Receives and applies messages from peers.
+
+use {
+    super::{
+        documents,
+        messages::{
+            HelloMessage,
+            LoadMessage,
+            MessageHeader,
+            PeerMessage,
+            SummaryMessage, //
+        },
+        replica_list,
+        sender::{
+            send,
+            BUSY_REQUESTS, //
+        }, //
+    },
+    crate::state::Shared,
+    async_std::{
+        net::UdpSocket,
+        task, //
+    },
+    policy::{
+        actives::{
+            Heard,
+            Said, //
+        },
+        RouterId, //
+    },
+    std::{
+        future::Future,
+        net::SocketAddr,
+        sync::{
+            atomic::{
+                AtomicBool,
+                Ordering, //
+            },
+            Arc, //
+        },
+        time::Duration, //
+    },
+};
+
+/// How many peer addresses are sent to a router that has just started.
+const MAX_KNOWN_PEERS: usize = 64;
+/// Delay after an error of the socket.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(50);
+pub(super) const MAX_DATAGRAM_BYTES: usize = 16 * 1024;
+
+/// Runs at most one task of a kind at a time. The messages that trigger it arrive several times a
+/// second, and a request to a peer takes longer than that.
+#[derive(Debug, Clone, Default)]
+struct SingleFlight(Arc<AtomicBool>);
+
+impl SingleFlight {
+    /// Spawns the future, unless one of its kind is running.
+    fn spawn(&self, future: impl Future<Output = ()> + Send + 'static) {
+        if self.0.swap(true, Ordering::SeqCst) {
+            return;
+        }
+        let running = self.0.clone();
+        task::spawn(async move {
+            future.await;
+            running.store(false, Ordering::SeqCst);
+        });
+    }
+}
+
+/// Applies the messages of peers to the tables of one gateway.
+#[derive(Debug)]
+struct MessageReceiver {
+    gw: Arc<Shared>,
+    socket: Arc<UdpSocket>,
+    config_fetch: SingleFlight,
+    list_fetch: SingleFlight,
+}
+
+/// Receives messages from peers for as long as the process runs.
+pub(crate) async fn receive_messages(gw: Arc<Shared>, socket: Arc<UdpSocket>) {
+    let receiver = MessageReceiver {
+        gw,
+        socket,
+        config_fetch: SingleFlight::default(),
+        list_fetch: SingleFlight::default(),
+    };
+    let mut buf = vec![0; MAX_DATAGRAM_BYTES];
+    loop {
+        let n = match receiver.socket.recv_from(&mut buf).await {
+            Ok((n, _)) => n,
+            Err(e) => {
+                log::warn!("event=peers outcome=receive-failed cause={e:?}");
+                task::sleep(RECEIVE_RETRY_DELAY).await;
+                continue;
+            }
+        };
+        match PeerMessage::decode(&buf[..n]) {
+            Ok(PeerMessage::Hello(hello)) if hello.name != receiver.gw.settings.name => {
+                if receiver.apply_hello(&hello) == Heard::First && hello.wants_peers {
+                    receiver.send_hello(hello.intro.peers).await;
+                }
+            }
+            Ok(PeerMessage::Hello(_)) => {}
+            Ok(PeerMessage::Loads(loads)) => receiver.apply_loads(&loads),
+            Ok(PeerMessage::Summary(summary)) => receiver.apply_summary(&summary),
+            Err(e) => log::debug!("event=peers outcome=not-understood cause={e:?}"),
+        }
+    }
+}
+
+impl MessageReceiver {
+    fn apply_loads(&self, message: &LoadMessage) {
+        let header = &message.header;
+        let now = self.gw.now();
+        let mut tables = self.gw.tables();
+        let next = header.next();
+        let loads = message.loads();
+        let said = Said {
+            busy: loads.iter().map(|(_, load)| load.running).sum::<u32>() >= BUSY_REQUESTS,
+            to_active: message.to_active,
+            from_active: message.from_active,
+        };
+        let word = tables
+            .fleet
+            .word(header.from, header.number, next, said, now);
+        let Some((from, at)) = word else {
+            return;
+        };
+        tables.board.peer(&from, &loads, now);
+        drop(tables);
+        self.apply_header(header, &from, at);
+    }
+
+    fn apply_summary(&self, summary: &SummaryMessage) {
+        let header = &summary.header;
+        let now = self.gw.now();
+        let mut tables = self.gw.tables();
+        let said = Said::default();
+        let word = tables
+            .fleet
+            .word(header.from, header.number, header.next(), said, now);
+        let Some((from, at)) = word else {
+            return;
+        };
+        let sharers = usize::from(summary.sharers);
+        tables.fleet.set_sharers(sharers, now);
+        tables.board.set_summary(&summary.loads(), now);
+        tables.quota.set_summary(&summary.counts, now);
+        drop(tables);
+        self.apply_header(header, &from, at);
+    }
+
+    fn apply_hello(&self, hello: &HelloMessage) -> Heard {
+        let now = self.gw.now();
+        let header = &hello.header;
+        let mut tables = self.gw.tables();
+        let rate = f64::from(hello.rate);
+        let intro = hello.intro.clone();
+        let heard = tables
+            .fleet
+            .hello(&hello.name, header.number, intro, header.next(), rate, now);
+        if heard == Heard::Old {
+            return heard;
+        }
+        if !hello.counts.is_empty() {
+            tables.quota.peer(&hello.name, &hello.counts, now);
+        }
+        tables.fleet.told_silent(&hello.silent, now);
+        for addr in &hello.known_peers {
+            tables.fleet.list(*addr, now);
+        }
+        let departed = tables.roster.told(&hello.departed, now);
+        let held = tables.quarantine.hear(&hello.quarantine, now);
+        drop(tables);
+        let at = hello.intro.peers;
+        for digest in held {
+            log::warn!(
+                "event=quarantine outcome=begun digest={digest} from={}",
+                hello.name
+            );
+        }
+        for id in departed {
+            log::info!(
+                "event=replica outcome=left replica={id} from={}",
+                hello.name
+            );
+        }
+        self.apply_header(header, &hello.name, at);
+        if heard == Heard::First {
+            log::info!("event=peer outcome=heard peer={} at={at}", hello.name);
+        }
+        heard
+    }
+
+    /// Introduces this router and some of its peers to a router that has just started: that one may
+    /// know only the seeds in its settings, and the store may be unreachable.
+    async fn send_hello(&self, to: SocketAddr) {
+        let now = self.gw.now();
+        let config = self.gw.version();
+        let number = self.gw.next_message();
+        let hello = {
+            let tables = self.gw.tables();
+            let state = tables.sender_state(&self.gw, number, config);
+            let mut hello = tables.hello(&state, tables.fleet.round(), now);
+            hello.known_peers = tables.fleet.some(MAX_KNOWN_PEERS, fastrand::usize(..));
+            hello
+        };
+        send(
+            &self.socket,
+            &PeerMessage::Hello(Box::new(hello)),
+            &[to],
+            false,
+        )
+        .await;
+    }
+
+    /// Applies the header of a message, and fetches what the sender has in a newer version.
+    fn apply_header(&self, header: &MessageHeader, from: &RouterId, at: SocketAddr) {
+        let gw = &self.gw;
+        let now = gw.now();
+        let mut tables = gw.tables();
+        tables.watch.peer(from, header.config_age(), now);
+        tables.roster.named_era(header.era, now);
+        let newer = tables
+            .roster
+            .peer_list(header.list_age(), header.list_digest, now);
+        drop(tables);
+        gw.note_peer_era(header.era, from);
+        if newer {
+            let gw = gw.clone();
+            self.list_fetch
+                .spawn(async move { replica_list::fetch(&gw, at).await });
+        }
+        if header.config_version > gw.version() {
+            let gw = gw.clone();
+            self.config_fetch
+                .spawn(async move { documents::fetch_config(&gw, at).await });
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/fleet/sender.rs
@@ -0,0 +1,238 @@
+//! Sends this router's messages to its peers.
+
+use {
+    super::messages::{
+        HelloMessage,
+        LoadMessage,
+        MessageHeader,
+        PeerMessage,
+        SenderState,
+        SummaryMessage, //
+    },
+    crate::state::{
+        Shared,
+        Tables, //
+    },
+    async_std::{
+        net::UdpSocket,
+        task, //
+    },
+    futures_lite::future::or,
+    policy::{
+        actives::{
+            short,
+            Actives,
+            Due,
+            HELLO_EVERY, //
+        },
+        RouterId,
+        Span,
+        Time, //
+    },
+    std::{
+        net::SocketAddr,
+        sync::Arc,
+        time::Duration, //
+    },
+};
+
+/// A standby sends its loads only if it runs at least this many requests. Each router gets a few of
+/// the operators' requests every second; reported by 270 routers, these would cause most messages.
+pub(super) const BUSY_REQUESTS: u32 = 4;
+
+/// A message and its receivers.
+type Addressed = (PeerMessage, Vec<SocketAddr>);
+
+/// What the sender remembers between two sends.
+#[derive(Debug, Clone, Copy)]
+struct SendState {
+    /// Number of gossip intervals so far.
+    intervals: u32,
+    /// It reported running requests in its last messages, which the active routers still count.
+    was_busy: bool,
+    /// It was woken before its time, to send an update to the active routers.
+    woken: bool,
+    /// It was active when it last sent messages.
+    was_active: bool,
+}
+
+impl SendState {
+    /// Records whether this router is active, and logs a change.
+    fn record_active(&mut self, fleet: &Actives) {
+        let active = fleet.is_active();
+        if active != self.was_active {
+            let outcome = if active { "begun" } else { "ended" };
+            let count = fleet.active_count();
+            log::info!("event=active outcome={outcome} active={count}");
+        }
+        self.was_active = active;
+    }
+}
+
+/// Sends messages to peers for as long as the process runs.
+pub(crate) async fn send_messages(gw: Arc<Shared>, socket: Arc<UdpSocket>) {
+    let mut failed = false;
+    let mut state = SendState {
+        intervals: 0,
+        was_busy: false,
+        woken: false,
+        was_active: false,
+    };
+    loop {
+        state.intervals += 1;
+        let (messages, pause) = due_messages(&gw, &mut state);
+        for (message, to) in messages {
+            failed = send(&socket, &message, &to, failed).await;
+        }
+        state.woken = or(
+            async {
+                task::sleep(pause).await;
+                false
+            },
+            async { gw.woken.recv().await.is_ok() },
+        )
+        .await;
+    }
+}
+
+/// Sends a message to all receivers. Returns whether the last send failed; a failure is logged
+/// unless the previous send failed too.
+pub(super) async fn send(
+    socket: &UdpSocket,
+    message: &PeerMessage,
+    to: &[SocketAddr],
+    mut failed: bool,
+) -> bool {
+    let bytes = match message.encode() {
+        Ok(bytes) => bytes,
+        Err(e) => {
+            log::error!("event=peers outcome=not-encoded cause={e:?}");
+            return failed;
+        }
+    };
+    for addr in to {
+        let sent = socket.send_to(&bytes, addr).await;
+        if let (Err(e), false) = (&sent, failed) {
+            log::warn!("event=peers outcome=send-failed to={addr} cause={e:?}");
+        }
+        failed = sent.is_err();
+        metrics::counter!("chervilwind_peers_bytes_sent").increment(bytes.len() as u64);
+    }
+    failed
+}
+
+/// Returns the messages that are due now, and the time until the next ones.
+fn due_messages(gw: &Shared, state: &mut SendState) -> (Vec<Addressed>, Duration) {
+    let now = gw.now();
+    let ready = gw.is_ready();
+    let config = gw.version();
+    let number = gw.next_message();
+    let urgent = gw.take_urgent();
+    let mut tables = gw.tables();
+    tables.fleet.set_ready(ready);
+    let loads = tables.board.report();
+    let busy = tables.board.running() >= BUSY_REQUESTS;
+    let reports = busy || state.was_busy || state.woken;
+    state.was_busy = busy;
+    let due = tables.fleet.due(reports, urgent, now);
+    state.record_active(&tables.fleet);
+    let acts = tables.fleet.acts_active(now);
+    let pace = tables.fleet.pace();
+    tables.board.hear(pace);
+    tables.quota.hear(pace * f64::from(HELLO_EVERY));
+    tables.board.forget(now);
+    tables.quota.forget(now);
+    tables.quarantine.forget(now);
+    let header_state = tables.sender_state(gw, number, config);
+    let mut messages = Vec::new();
+    // The quarantine can't wait for the next hello: a request that ends replicas is sent to the
+    // next replica within about 100 ms.
+    let news = tables.quarantine.takes_news();
+    if news || state.intervals % HELLO_EVERY == 1 {
+        messages.extend(tables.hellos(&header_state, &due, now));
+    }
+    messages.extend(tables.summaries(&header_state, &due, now));
+    for (to, next) in [(due.far, due.far_next), (due.seldom, due.seldom_next)] {
+        if !to.is_empty() {
+            let hello = tables.hello(&header_state, next, now);
+            messages.push((PeerMessage::Hello(Box::new(hello)), to));
+        }
+    }
+    drop(tables);
+    for (to, to_active) in [(due.near, true), (due.addressed, false)] {
+        if !to.is_empty() {
+            let header = MessageHeader::new(&header_state, due.near_next);
+            let mut message = LoadMessage::new(header, &loads);
+            message.to_active = to_active;
+            message.from_active = acts;
+            messages.push((PeerMessage::Loads(message), to));
+        }
+    }
+    (messages, pace.into())
+}
+
+impl Tables {
+    pub(super) fn sender_state(&self, gw: &Shared, number: u32, config: u64) -> SenderState {
+        let now = gw.now();
+        SenderState {
+            from: short(&gw.settings.name, gw.incarnation),
+            number,
+            list_age: self.roster.age(now),
+            list_digest: self.roster.digest(),
+            config_version: config,
+            config_age: self.watch.age(now),
+            era: gw.eras().newest(),
+        }
+    }
+
+    /// Returns hello messages, with counts, for the active routers and the busy standbys.
+    fn hellos(&mut self, state: &SenderState, due: &Due, now: Time) -> Vec<Addressed> {
+        let near: Vec<SocketAddr> = due.near.iter().chain(&due.addressed).copied().collect();
+        let beside = due.beside.clone();
+        let mut all = Vec::new();
+        if near.is_empty() && beside.is_empty() {
+            return all;
+        }
+        let counts = self.quota.report(now);
+        for (to, next) in [(near, due.near_next), (beside, due.beside_next)] {
+            if !to.is_empty() {
+                let mut hello = self.hello(state, next, now);
+                hello.quarantine = self.quarantine.notes(now);
+                hello.counts = counts.clone();
+                all.push((PeerMessage::Hello(Box::new(hello)), to));
+            }
+        }
+        all
+    }
+
+    /// Returns the summaries for the busy standbys that get them from this router.
+    fn summaries(&self, state: &SenderState, due: &Due, now: Time) -> Vec<Addressed> {
+        let sharers = self.fleet.sharers(now);
+        let summary = |(name, addr): &(RouterId, SocketAddr)| {
+            let header = MessageHeader::new(state, due.near_next);
+            let loads = self.board.all_but(name, now);
+            let counts = self.quota.all_but(name, now);
+            (
+                PeerMessage::Summary(SummaryMessage::new(header, sharers, loads, counts)),
+                vec![*addr],
+            )
+        };
+        due.relayed.iter().map(summary).collect()
+    }
+
+    /// Returns a hello message whose successor is sent after `next`.
+    pub(super) fn hello(&self, state: &SenderState, next: Span, now: Time) -> HelloMessage {
+        HelloMessage {
+            header: MessageHeader::new(state, next),
+            name: self.fleet.name().clone(),
+            intro: self.fleet.own().clone(),
+            rate: self.fleet.rate() as f32,
+            counts: Vec::new(),
+            departed: self.roster.left(now),
+            quarantine: self.quarantine.holds(now),
+            silent: self.fleet.silent(),
+            wants_peers: self.fleet.knows_few(),
+            known_peers: Vec::new(),
+        }
+    }
+}
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -67,7 +67,7 @@
 /// Puts a configuration in force, and has all peers told at once of a new one.
 fn take(gw: &Shared, document: Vec<u8>) {
     let before = gw.version();
-    gw.take_config(document, FROM);
+    gw.apply_config(document, FROM);
     if gw.version() > before {
         gw.announce_to_all();
     }
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -8,7 +8,7 @@
     config::follow_config,
     register::register,
     replicas::{
+        apply_peer_list, //
         follow_replicas,
-        take_from_peer, //
     },
 };
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -78,7 +78,7 @@
 }
 
 /// Takes the list of a peer, as it was `age` ago.
-pub(crate) fn take_from_peer(
+pub(crate) fn apply_peer_list(
     gw: &Shared,
     list: Vec<Replica>,
     era: Era,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -127,8 +127,8 @@
     task::spawn(serve::serve_addresses(gw.clone(), addresses));
     task::spawn(serve::serve_metrics(gw.clone(), metrics, handle));
     task::spawn(fleet::serve_documents(gw.clone(), documents));
-    task::spawn(fleet::listen(gw.clone(), peers.clone()));
-    task::spawn(fleet::say(gw.clone(), peers));
+    task::spawn(fleet::receive_messages(gw.clone(), peers.clone()));
+    task::spawn(fleet::send_messages(gw.clone(), peers));
     task::spawn(follow::follow_config(gw.clone()));
     task::spawn(follow::follow_replicas(gw.clone()));
     task::spawn(follow::register(gw.clone()));
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -212,12 +212,12 @@
     }
 
     /// Tells whether all routers are to be told now, once for each time that they are to be.
-    pub(crate) fn takes_urgent(&self) -> bool {
+    pub(crate) fn take_urgent(&self) -> bool {
         self.urgent.swap(false, Ordering::SeqCst)
     }
 
     /// Returns the number of the next word to peers.
-    pub(crate) fn next_word(&self) -> u32 {
+    pub(crate) fn next_message(&self) -> u32 {
         self.words.fetch_add(1, Ordering::Relaxed) + 1
     }
 
@@ -245,7 +245,7 @@
     ///
     /// Returns whether it can be used, newer or not. An older one never comes back in force:
     /// the store's answers may be old, and peers may be behind.
-    pub(crate) fn take_config(&self, document: Vec<u8>, from: &str) -> bool {
+    pub(crate) fn apply_config(&self, document: Vec<u8>, from: &str) -> bool {
         let config = match (self.dialect.config)(&document) {
             Ok(config) => config,
             Err(e) => {
@@ -287,7 +287,7 @@
     }
 
     /// Notes the era of the store that a peer names.
-    pub(crate) fn note_named_era(&self, era: Era, from: &RouterId) {
+    pub(crate) fn note_peer_era(&self, era: Era, from: &RouterId) {
         let mut eras = lock(&self.eras);
         let before = *eras;
         if eras.named(era) {
