--- a/crates/gateway/src/serve/connection.rs
+++ b/crates/gateway/src/serve/connection.rs
@@ -139,7 +139,7 @@
         let _active = Count::up(&gw.active_requests, 1);
         let head = self.head(&limits).await?;
         let (body, arrived) = self.body(&head, &limits).await?;
-        let _held = Count::up(&gw.body_bytes, body.len());
+        let _held = Count::up(&gw.held_body_bytes, body.len());
         let keep = head.keeps();
         self.closes = !keep;
         let id = head.headers.get(gw.dialect.id).map(str::to_owned);
@@ -204,7 +204,7 @@
         }
         if self
             .gw
-            .body_bytes
+            .held_body_bytes
             .load(Ordering::Relaxed)
             .saturating_add(coming)
             > memory
--- a/crates/gateway/src/serve/server.rs
+++ b/crates/gateway/src/serve/server.rs
@@ -125,7 +125,7 @@
         ),
         (
             "chervilwind_body_bytes",
-            gw.body_bytes.load(Ordering::Relaxed),
+            gw.held_body_bytes.load(Ordering::Relaxed),
         ),
         ("chervilwind_peers", peers),
         ("chervilwind_active_routers", active),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -134,7 +134,7 @@
     /// Connections of callers.
     pub(crate) caller_connections: AtomicUsize,
     /// Bytes of bodies that are held.
-    pub(crate) body_bytes: AtomicUsize,
+    pub(crate) held_body_bytes: AtomicUsize,
 }
 
 impl Shared {
@@ -175,7 +175,7 @@
             eras: Mutex::default(),
             active_requests: AtomicUsize::new(0),
             caller_connections: AtomicUsize::new(0),
-            body_bytes: AtomicUsize::new(0),
+            held_body_bytes: AtomicUsize::new(0),
             settings,
         }
     }
