--- a/crates/policy/src/dispatch/exchange.rs
+++ b/crates/policy/src/dispatch/exchange.rs
@@ -59,7 +59,7 @@
                     pool.report(from, incarnation, r, now);
                 }
             }
-            Message::Lend(l) => {
+            Message::SlotGrant(l) => {
                 for (key, level) in entry.hold.levels(from, incarnation, &l) {
                     entry.ledger.hear(key, level, now);
                 }
@@ -218,7 +218,7 @@
                     .hold
                     .lend(&to, me.incarnation, &lend, &mut self.seats, now);
             } else {
-                let msg = Message::Lend(lend);
+                let msg = Message::SlotGrant(lend);
                 out.sends.push(Action::Send { to, msg });
             }
         }
--- a/crates/policy/src/dispatch/message.rs
+++ b/crates/policy/src/dispatch/message.rs
@@ -27,7 +27,8 @@
     /// From a router to the owner of a pool.
     Report(Report),
     /// From the owner of a pool to a router.
-    Lend(Lend),
+    #[serde(rename = "Lend")]
+    SlotGrant(SlotGrant),
     /// Between any two routers: how much service workspaces received.
     Notes(Notes),
 }
@@ -99,7 +100,7 @@
 
 /// How many requests a router may run on each replica.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lend {
+pub struct SlotGrant {
     pub(crate) service: ServiceKey,
     /// The term of the last report that was seen. The router takes no lend of an older
     /// one, which another owner may have followed.
@@ -125,7 +126,7 @@
     pub(crate) limits: Vec<(ReplicaKey, u32)>,
 }
 
-impl Lend {
+impl SlotGrant {
     /// Returns roughly how many bytes it takes on the wire.
     pub(crate) fn size(&self) -> usize {
         LEND.0 + LEND.1 * (self.slots.len() + self.limits.len()) + LEND.2 * self.levels.len()
@@ -137,7 +138,7 @@
     pub(crate) fn service(&self) -> ServiceKey {
         match self {
             Message::Report(m) => m.service,
-            Message::Lend(m) => m.service,
+            Message::SlotGrant(m) => m.service,
             Message::Notes(m) => m.service,
         }
     }
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -45,9 +45,9 @@
         Replica, //
     },
     message::{
-        Lend,
         Message,
         Report, //
+        SlotGrant,
     },
     rules::{
         Mode,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -41,7 +41,6 @@
         Finish,
         Job,
         JobId,
-        Lend,
         Message,
         Mode,
         OwnerView,
@@ -54,6 +53,7 @@
         Rules,
         ServiceDump,
         ServiceRules,
+        SlotGrant,
         Unit,
         WorkspaceShare, //
     },
--- a/crates/policy/src/pool/hold.rs
+++ b/crates/policy/src/pool/hold.rs
@@ -11,9 +11,9 @@
     },
     crate::{
         dispatch::{
-            Lend,
             Report,
             ServiceKey,
+            SlotGrant,
             Wait, //
         },
         entry::{
@@ -132,7 +132,7 @@
         &mut self,
         from: &RouterId,
         inc: Incarnation,
-        l: &Lend,
+        l: &SlotGrant,
         seats: &mut Seats,
         now: Time,
     ) -> bool {
@@ -173,7 +173,12 @@
     }
 
     /// Returns the levels that a lend tells, without what this router counted itself.
-    pub(crate) fn levels(&self, from: &RouterId, inc: Incarnation, l: &Lend) -> Vec<(Key, i64)> {
+    pub(crate) fn levels(
+        &self,
+        from: &RouterId,
+        inc: Incarnation,
+        l: &SlotGrant,
+    ) -> Vec<(Key, i64)> {
         let owner = self.owner.as_ref() == Some(&(from.clone(), inc));
         let asked = self.asked.iter().find(|(seq, _)| *seq == l.seen);
         match asked {
--- a/crates/policy/src/pool/owner.rs
+++ b/crates/policy/src/pool/owner.rs
@@ -12,10 +12,10 @@
     },
     crate::{
         dispatch::{
-            Lend,
             Load,
             Report,
             ServiceKey,
+            SlotGrant,
             Wait, //
         },
         entry::{
@@ -307,7 +307,7 @@
         me: &RouterId,
         ledger: &Ledger,
         now: Time,
-    ) -> Vec<(RouterId, Lend)> {
+    ) -> Vec<(RouterId, SlotGrant)> {
         self.bucket.refill(TELLS, BURST, now);
         let common = Common {
             service: self.service,
@@ -329,7 +329,7 @@
                     l.limits = b.limits_due(&self.lots, now);
                 }
                 if !local {
-                    self.bucket.spend(lend.as_ref().map_or(0, Lend::size));
+                    self.bucket.spend(lend.as_ref().map_or(0, SlotGrant::size));
                 }
                 out.extend(lend.map(|l| (id.clone(), l)));
             }
--- a/crates/policy/src/pool/tell.rs
+++ b/crates/policy/src/pool/tell.rs
@@ -8,8 +8,8 @@
     },
     crate::{
         dispatch::{
-            Lend,
             ServiceKey,
+            SlotGrant,
             Wait, //
         },
         entry::ReplicaKey,
@@ -38,8 +38,8 @@
 
 impl Common {
     /// Asks a router to tell all that it keeps.
-    pub(crate) fn ask_all(&self, term: u32) -> Lend {
-        Lend {
+    pub(crate) fn ask_all(&self, term: u32) -> SlotGrant {
+        SlotGrant {
             service: self.service,
             term,
             seq: 0,
@@ -65,7 +65,7 @@
         level: impl Fn(&Wait) -> i64,
         open: bool,
         now: Time,
-    ) -> Option<Lend> {
+    ) -> Option<SlotGrant> {
         let passed = self.told.map_or(AGAIN, |t| now.since(t));
         let again = self.seen < self.lend && passed >= AGAIN;
         let ack = self.acked < self.report && passed >= ACK;
@@ -91,7 +91,7 @@
             _ => cell.touched > base,
         };
         let cells = lots.iter().zip(&self.cells);
-        Some(Lend {
+        Some(SlotGrant {
             service: c.service,
             term: self.term,
             seq: self.lend,
