--- a/crates/policy/src/dispatch/dump.rs
+++ b/crates/policy/src/dispatch/dump.rs
@@ -48,18 +48,19 @@
     /// Its replicas.
     pub replicas: Vec<ReplicaDump>,
     /// What each router holds of it, where this router owns the pool.
-    pub routers: Vec<BorrowerDump>,
+    pub routers: Vec<GranteeDump>,
 }
 
 /// A router, as the owner of a pool sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct BorrowerDump {
+pub struct GranteeDump {
     /// Its name.
     pub router: RouterId,
     /// What is believed of it.
     pub state: PeerState,
     /// Slots that it was lent.
-    pub lent: Slots,
+    #[serde(rename = "lent")]
+    pub granted: Slots,
     /// Slots that it keeps by its last report.
     pub kept: Slots,
     /// Requests that run from it.
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -27,8 +27,8 @@
     action::Action,
     core::Dispatch,
     dump::{
-        BorrowerDump,
         DispatchDump,
+        GranteeDump,
         OwnerView,
         QueueDump,
         ReplicaDump,
--- a/crates/policy/src/pool/owner.rs
+++ b/crates/policy/src/pool/owner.rs
@@ -27,7 +27,7 @@
             Writer,
             MILLI, //
         },
-        BorrowerDump,
+        GranteeDump,
         Incarnation,
         Peer,
         PeerState,
@@ -287,13 +287,13 @@
     }
 
     /// Returns what each router holds, as operators read it.
-    pub(crate) fn dump(&self) -> Vec<BorrowerDump> {
+    pub(crate) fn dump(&self) -> Vec<GranteeDump> {
         self.borrowers
             .iter()
-            .map(|(id, b)| BorrowerDump {
+            .map(|(id, b)| GranteeDump {
                 router: id.clone(),
                 state: b.state,
-                lent: Slots(b.total()),
+                granted: Slots(b.total()),
                 kept: Slots(b.cells.iter().map(|c| c.kept).sum()),
                 running: Slots(b.running),
                 waiting: b.waits.iter().map(|w| w.queued as usize).sum(),
