--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -23,8 +23,8 @@
         Job,
         JobId,
         Mode,
-        OwnerView,
         Peer,
+        PreferredRouter,
         Refusal,
         Replica,
         ReplicaId,
@@ -322,7 +322,7 @@
     }
 
     /// Returns which routers hold how many slots of a service.
-    pub fn owners(&self, service: &ServiceId) -> Vec<OwnerView> {
+    pub fn preferred_routers(&self, service: &ServiceId) -> Vec<PreferredRouter> {
         let Some(entry) = self.services.get(service) else {
             return Vec::new();
         };
@@ -330,7 +330,7 @@
         let live = rendezvous::top(service.as_str(), live, HOMES, |id| id.as_str());
         let slots = Slots(entry.capacity().div_ceil(live.len().max(1) as u32));
         live.into_iter()
-            .map(|router| OwnerView { router, slots })
+            .map(|router| PreferredRouter { router, slots })
             .collect()
     }
 
--- a/crates/policy/src/dispatch/dump.rs
+++ b/crates/policy/src/dispatch/dump.rs
@@ -97,7 +97,7 @@
 
 /// A router that holds slots of a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct OwnerView {
+pub struct PreferredRouter {
     /// The router.
     pub router: RouterId,
     /// How many slots callers may expect there.
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -29,7 +29,7 @@
     dump::{
         DispatchDump,
         GranteeDump,
-        OwnerView,
+        PreferredRouter,
         QueueDump,
         ReplicaDump,
         ServiceDump, //
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -45,7 +45,7 @@
         Mode,
         Peer,
         PeerState,
-        OwnerView,
+        PreferredRouter,
         QueueDump,
         Replica,
         ReplicaDump,
--- a/src/router/addresses.rs
+++ b/src/router/addresses.rs
@@ -94,7 +94,7 @@
     }
 
     fn slots(&self, query: &WhereQuery) -> HashMap<String, u32> {
-        let owners = lock(&self.dispatch).owners(&query.service);
+        let owners = lock(&self.dispatch).preferred_routers(&query.service);
         let mut slots: HashMap<String, u32> = HashMap::new();
         for o in owners {
             let Slots(n) = o.slots;
