--- a/crates/policy/src/dispatch/action.rs
+++ b/crates/policy/src/dispatch/action.rs
@@ -20,13 +20,13 @@
         replica: ReplicaId,
     },
     /// Refuse the request; it has not run.
-    Refuse {
+    Reject {
         /// The request.
         job: JobId,
         /// Why.
-        why: Refusal,
+        reason: Refusal,
         /// When to come back.
-        after: Span,
+        retry_after: Span,
     },
     /// Pass a message to another router.
     Send {
--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -169,7 +169,11 @@
             .expect("the service is known");
         let (id, refused) = entry.submit(job, self.rules.mode, &mut self.lives, now);
         match refused {
-            Some((job, why, after)) => self.actions.push(Action::Refuse { job, why, after }),
+            Some((job, reason, retry_after)) => self.actions.push(Action::Reject {
+                job,
+                reason,
+                retry_after,
+            }),
             None => self.pump(&service, now),
         }
         id
--- a/crates/policy/src/dispatch/refuse.rs
+++ b/crates/policy/src/dispatch/refuse.rs
@@ -17,22 +17,22 @@
 
 impl Dispatch {
     /// Refuses a queued request.
-    pub(super) fn refuse(&mut self, id: JobId, why: Refusal, after: Span, now: Time) {
+    pub(super) fn refuse(&mut self, id: JobId, reason: Refusal, retry_after: Span, now: Time) {
         let Some(live) = self.lives.remove(id) else {
             return;
         };
         if let Some(entry) = self.services.get_mut(&live.job.service) {
             entry.unqueue(id, &live, now);
         }
-        self.actions.push(Action::Refuse {
+        self.actions.push(Action::Reject {
             job: id,
-            why,
-            after,
+            reason,
+            retry_after,
         });
     }
 
     /// Refuses all that is queued at a service.
-    pub(super) fn refuse_queued(&mut self, service: &ServiceId, why: Refusal, now: Time) {
+    pub(super) fn refuse_queued(&mut self, service: &ServiceId, reason: Refusal, now: Time) {
         let queued: Vec<JobId> = self
             .lives
             .iter()
@@ -40,7 +40,7 @@
             .map(|(id, _)| id)
             .collect();
         for id in queued {
-            self.refuse(id, why, AFTER_NONE, now);
+            self.refuse(id, reason, AFTER_NONE, now);
         }
     }
 
@@ -53,14 +53,14 @@
     }
 
     /// Refuses a request that no queue takes.
-    pub(super) fn turn_away(&mut self, job: Job, why: Refusal) -> JobId {
+    pub(super) fn turn_away(&mut self, job: Job, reason: Refusal) -> JobId {
         let live = Live::unqueued(job);
         let id = self.lives.insert(live);
         self.lives.remove(id);
-        self.actions.push(Action::Refuse {
+        self.actions.push(Action::Reject {
             job: id,
-            why,
-            after: AFTER_NONE,
+            reason,
+            retry_after: AFTER_NONE,
         });
         id
     }
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -101,7 +101,11 @@
     d.take_actions()
         .into_iter()
         .filter_map(|a| match a {
-            Action::Refuse { job, why, after } => Some((job, why, after)),
+            Action::Reject {
+                job,
+                reason,
+                retry_after,
+            } => Some((job, reason, retry_after)),
             _ => None,
         })
         .collect()
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -388,7 +388,11 @@
         for action in node.dispatch.take_actions() {
             match action {
                 Action::Start { job, replica } => self.begin(n, job, replica),
-                Action::Refuse { job, why, after } => self.refused(n, job, why, after),
+                Action::Reject {
+                    job,
+                    reason,
+                    retry_after,
+                } => self.reject(n, job, reason, retry_after),
                 Action::Send { to, msg } => self.send(n, &to, msg),
             }
         }
@@ -409,14 +413,14 @@
         self.push(done, Event::Finish(n, inc, job));
     }
 
-    fn refused(&mut self, n: usize, job: JobId, why: policy::Refusal, after: Span) {
+    fn reject(&mut self, n: usize, job: JobId, reason: policy::Refusal, retry_after: Span) {
         let node = self.nodes[n].as_mut().unwrap();
         let open = node.open.remove(&job).expect("a refusal of an unknown job");
         assert!(open.at.is_none(), "a refusal of a started job");
         self.ended.push(Ended {
             router: n,
             workspace: open.workspace,
-            refused: Some((why, after)),
+            refused: Some((reason, retry_after)),
             waited: self.now.since(open.arrived),
         });
     }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -163,7 +163,11 @@
         let (job, verdict) = match action {
             Action::Send { to, msg } => return self.links.send(&to, Item::Share(msg)),
             Action::Start { job, replica } => (job, Verdict::Start(replica)),
-            Action::Refuse { job, why, after } => (job, Verdict::Refuse { why, after }),
+            Action::Reject {
+                job,
+                reason: why,
+                retry_after: after,
+            } => (job, Verdict::Refuse { why, after }),
         };
         if !lock(&self.jobs).tell(job, verdict) {
             log::debug!("router: a decision came for a request that nobody waits for");
--- a/src/slopes/model.rs
+++ b/src/slopes/model.rs
@@ -319,7 +319,7 @@
                     job,
                 }),
                 Action::Send { to, msg } => mail.push((i, to, msg)),
-                Action::Refuse { .. } => {}
+                Action::Reject { .. } => {}
             }
         }
         mail
