--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -18,8 +18,8 @@
             Writer, //
         },
         Action,
+        Completion,
         DispatchDump,
-        Finish,
         Job,
         JobId,
         Mode,
@@ -188,9 +188,9 @@
             return;
         };
         let service = live.job.service.clone();
-        let failed = Finish {
+        let failed = Completion {
             refund: true,
-            ..Finish::default()
+            ..Completion::default()
         };
         let entry = self.services.get_mut(&service);
         let entry = entry.and_then(|entry| {
@@ -255,7 +255,7 @@
     }
 
     /// Ends a started request.
-    pub fn finish(&mut self, id: JobId, f: Finish, now: Time) {
+    pub fn finish(&mut self, id: JobId, f: Completion, now: Time) {
         let Some(mut live) = self.lives.remove(id) else {
             return;
         };
--- a/crates/policy/src/dispatch/job.rs
+++ b/crates/policy/src/dispatch/job.rs
@@ -42,13 +42,13 @@
 
 /// How a started request ended at its replica.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Finish {
+pub struct Completion {
     /// All the service it received.
     pub units: Units,
     /// Time from its start to the first byte of the answer.
-    pub first: Option<Span>,
+    pub first_byte: Option<Span>,
     /// Mean time between two tokens, unless they were told as they came.
-    pub gap: Option<Span>,
+    pub token_gap: Option<Span>,
     /// Whether the replica showed no sign of overload or failure.
     pub ok: bool,
     /// Whether nothing was served, so that its charge is taken back.
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -35,7 +35,7 @@
         ServiceDump, //
     },
     job::{
-        Finish,
+        Completion,
         Job,
         JobId, //
     },
--- a/crates/policy/src/entry/core.rs
+++ b/crates/policy/src/entry/core.rs
@@ -26,7 +26,7 @@
             Writer,
             MILLI, //
         },
-        Finish,
+        Completion,
         Job,
         JobId,
         Mode,
@@ -278,7 +278,7 @@
     /// Ends the run of a request: corrects its charge and frees its seat.
     ///
     /// Without a `finish` the caller has given up, and what was charged stays.
-    pub(crate) fn end(&mut self, live: &mut Live, finish: Option<&Finish>, now: Time) {
+    pub(crate) fn end(&mut self, live: &mut Live, finish: Option<&Completion>, now: Time) {
         let Some(run) = live.run.take() else { return };
         self.busy -= 1;
         if let Some(f) = finish {
--- a/crates/policy/src/entry/sample.rs
+++ b/crates/policy/src/entry/sample.rs
@@ -3,7 +3,7 @@
 use crate::{
     dispatch::Load,
     entry::ReplicaKey,
-    Finish,
+    Completion,
     Span, //
 };
 
@@ -26,12 +26,12 @@
 
 impl Sample {
     /// Notes the end of a request.
-    pub(crate) fn note(&mut self, f: &Finish) {
+    pub(crate) fn note(&mut self, f: &Completion) {
         self.seen = true;
         self.failed |= !f.ok;
         if f.ok {
-            self.first.push(f.first);
-            self.gap.push(f.gap);
+            self.first.push(f.first_byte);
+            self.gap.push(f.token_gap);
         }
     }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -35,9 +35,9 @@
     claim::Claim,
     dispatch::{
         Action,
+        Completion,
         Dispatch,
         DispatchDump,
-        Finish,
         GranteeDump,
         Job,
         JobId,
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -3,8 +3,8 @@
 use {
     policy::{
         Action,
+        Completion,
         Dispatch,
-        Finish,
         Incarnation,
         Job,
         JobId,
@@ -111,10 +111,10 @@
         .collect()
 }
 
-const DONE: Finish = Finish {
+const DONE: Completion = Completion {
     units: Units(1.0),
-    first: None,
-    gap: None,
+    first_byte: None,
+    token_gap: None,
     ok: true,
     refund: false,
 };
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -9,8 +9,8 @@
 use {
     policy::{
         Action,
+        Completion,
         Dispatch,
-        Finish,
         Incarnation,
         Job,
         JobId,
@@ -470,10 +470,10 @@
         let Some(open) = node.open.remove(&job) else {
             return;
         };
-        let f = Finish {
+        let f = Completion {
             units: Units(open.cost),
-            first: None,
-            gap: None,
+            first_byte: None,
+            token_gap: None,
             ok: true,
             refund: false,
         };
--- a/crates/policy/tests/requeue.rs
+++ b/crates/policy/tests/requeue.rs
@@ -8,7 +8,7 @@
         Fleet, //
     },
     policy::{
-        Finish,
+        Completion,
         JobId,
         Mode,
         ReplicaId,
@@ -61,7 +61,7 @@
             assert_ne!(first, second);
             let node = f.nodes[n].as_mut().unwrap();
             node.open.remove(&id);
-            node.dispatch.finish(id, Finish::default(), f.now);
+            node.dispatch.finish(id, Completion::default(), f.now);
             *f.running.get_mut(&second).unwrap() -= 1;
             f.settle(n);
         }
--- a/src/router/passing.rs
+++ b/src/router/passing.rs
@@ -176,7 +176,7 @@
         }
         let mut finish = finish(&self.run.work, &end, self.run.ran());
         if self.paced {
-            finish.gap = None;
+            finish.token_gap = None;
         }
         self.run.finish(finish);
         self.run.count_service(finish.units);
--- a/src/router/running.rs
+++ b/src/router/running.rs
@@ -35,7 +35,7 @@
     policy::{
         tickets::Grant,
         Claim,
-        Finish,
+        Completion,
         JobId,
         Outcome,
         ReplicaId,
@@ -172,7 +172,7 @@
         self.started = Instant::now();
         let call = self.work.call(&replica, self.grant.as_ref(), self.tries);
         let Some(call) = call else {
-            self.finish(Finish::default());
+            self.finish(Completion::default());
             self.drop_unstarted();
             return Step::Done(internal("the endpoint's address can't be used"));
         };
@@ -373,7 +373,7 @@
         }
     }
 
-    pub(crate) fn finish(&mut self, finish: Finish) {
+    pub(crate) fn finish(&mut self, finish: Completion) {
         let job = self.job;
         self.over = true;
         self.router.dispatch(|d, now| d.finish(job, finish, now));
--- a/src/router/told.rs
+++ b/src/router/told.rs
@@ -17,7 +17,7 @@
     },
     operators::Unit,
     policy::{
-        Finish,
+        Completion,
         Outcome,
         Units, //
     },
@@ -28,7 +28,7 @@
 };
 
 /// What the dispatch is told of the end of a call that ran for a while.
-pub(crate) fn finish(work: &Work, end: &End, ran: Duration) -> Finish {
+pub(crate) fn finish(work: &Work, end: &End, ran: Duration) -> Completion {
     // One workspace whose deadlines are too short for any endpoint would have all
     // replicas taken for failing. It would show as capacity that idles for everyone.
     let rushed = ran < SILENCE && work.deadline <= Instant::now();
@@ -38,10 +38,10 @@
         Unit::Requests if answered => work.weight,
         Unit::Requests => Units(0.0),
     };
-    Finish {
+    Completion {
         units,
-        first: end.first,
-        gap: end.gap,
+        first_byte: end.first,
+        token_gap: end.gap,
         ok: answered || end.cause.is_none() || rushed,
         refund: units == Units(0.0),
     }
--- a/src/slopes/model.rs
+++ b/src/slopes/model.rs
@@ -3,8 +3,8 @@
 use {
     policy::{
         Action,
+        Completion,
         Dispatch,
-        Finish,
         Incarnation,
         Job,
         JobId,
@@ -273,10 +273,10 @@
             let Some(e) = self.ending.pop_front() else {
                 return;
             };
-            let finish = Finish {
+            let finish = Completion {
                 units: Units(300.0),
-                first: Some(Span::millis(300)),
-                gap: Some(Span::millis(25)),
+                first_byte: Some(Span::millis(300)),
+                token_gap: Some(Span::millis(25)),
                 ok: true,
                 refund: false,
             };
