--- a/crates/policy/src/dispatch/job.rs
+++ b/crates/policy/src/dispatch/job.rs
@@ -35,7 +35,7 @@
     /// Share of its profile, which divides the charge.
     pub share: Share,
     /// Rough time that it runs; zero where nothing is known.
-    pub expect: Span,
+    pub expected_run: Span,
     /// Hash of its prompt's prefix, for replicas that cache it.
     pub prefix: Option<u64>,
 }
--- a/crates/policy/src/entry/refuse.rs
+++ b/crates/policy/src/entry/refuse.rs
@@ -59,7 +59,7 @@
 
     /// Returns how long a request is thought to run.
     fn expect(&self, job: &Job) -> Span {
-        job.expect
+        job.expected_run
     }
 
     /// Returns the requests that can no longer be answered in time.
@@ -89,7 +89,7 @@
 
 /// Returns when it is too late to start a request.
 pub(super) fn doomed(job: &Job) -> Time {
-    job.deadline - job.expect
+    job.deadline - job.expected_run
 }
 
 fn clamp(after: Option<Span>) -> Span {
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -82,7 +82,7 @@
         urgency: 0,
         hint: Units(1.0),
         share: Share::ONE,
-        expect: Span::ZERO,
+        expected_run: Span::ZERO,
         prefix: None,
     }
 }
@@ -167,7 +167,7 @@
     }
     let short = Job {
         deadline: now + Span::secs(12),
-        expect: Span::secs(11),
+        expected_run: Span::secs(11),
         ..job("w1", now)
     };
     let id = d.submit(short, now);
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -361,7 +361,7 @@
             urgency: (self.now.0 / 10_000 % 10) as u8,
             hint: Units(hint),
             share: Share::ONE,
-            expect: Span::ZERO,
+            expected_run: Span::ZERO,
             prefix: None,
         };
         let Some(node) = &mut self.nodes[n] else {
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -91,7 +91,7 @@
         urgency: profile.urgency,
         hint: service.hint(profile),
         share: profile.share,
-        expect,
+        expected_run: expect,
         prefix: None,
     };
     Ok(work(r, job, service, profile, workspace, left))
--- a/src/slopes/model.rs
+++ b/src/slopes/model.rs
@@ -226,7 +226,7 @@
             urgency: 0,
             hint: Units(300.0),
             share: Share::ONE,
-            expect: Span::ZERO,
+            expected_run: Span::ZERO,
             prefix: None,
         };
         let begin = Instant::now();
