--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -138,7 +138,7 @@
     }
 
     /// Takes over the list of a service's replicas.
-    pub fn replicas(&mut self, service: &ServiceId, list: Vec<Replica>, now: Time) {
+    pub fn set_replicas(&mut self, service: &ServiceId, list: Vec<Replica>, now: Time) {
         if let Some(entry) = self.services.get_mut(service) {
             entry.seats.replace(list);
         }
@@ -149,7 +149,7 @@
     ///
     /// Until it was called once, this router owns nothing and waits for slots: one that
     /// has just started and knows of nobody yet would take all slots for its own.
-    pub fn routers(&mut self, list: Vec<Peer>, now: Time) {
+    pub fn set_routers(&mut self, list: Vec<Peer>, now: Time) {
         self.listed = true;
         self.routers = list.into_iter().map(|p| (p.id.clone(), p)).collect();
         self.rank(now);
@@ -232,7 +232,7 @@
     }
 
     /// Notes how much a running request has received so far.
-    pub fn progress(&mut self, id: JobId, served: Units, _now: Time) {
+    pub fn record_progress(&mut self, id: JobId, served: Units, _now: Time) {
         let Some(live) = self.lives.get_mut(id) else {
             return;
         };
@@ -245,7 +245,7 @@
     ///
     /// The limit of a replica is learnt from these. A mean over whole requests would tell
     /// seconds late what a change of the limit has changed.
-    pub fn tokens(&mut self, id: JobId, count: u32, took: Span) {
+    pub fn record_tokens(&mut self, id: JobId, count: u32, took: Span) {
         let Some(live) = self.lives.get(id) else {
             return;
         };
@@ -282,7 +282,7 @@
 
     /// Takes in what a replica says of itself, some time after it was true: how many
     /// requests run on it and how many wait inside it.
-    pub fn load(&mut self, replica: &ReplicaId, running: u32, waiting: u32, _now: Time) {
+    pub fn record_load(&mut self, replica: &ReplicaId, running: u32, waiting: u32, _now: Time) {
         for entry in self.services.values_mut() {
             if let Some(seat) = entry.seats.all.get_mut(replica) {
                 seat.sample.said = Some((running, waiting));
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -69,7 +69,7 @@
     let mut d = Dispatch::new(peer("r1"), 1);
     d.configure(rules(mode, start), Time(0));
     let list = replicas.iter().map(|r| replica(r.0, r.1)).collect();
-    d.replicas(&SERVICE.parse().unwrap(), list, Time(0));
+    d.set_replicas(&SERVICE.parse().unwrap(), list, Time(0));
     d
 }
 
@@ -219,7 +219,7 @@
 #[test]
 fn static_splits_limit() {
     let mut d = router(Mode::Static, 5, &[("a", "hall-a"), ("b", "hall-a")]);
-    d.routers(vec![peer("r2"), peer("r3")], Time(0));
+    d.set_routers(vec![peer("r2"), peer("r3")], Time(0));
     let dump = d.dump();
     let allowed: Vec<u32> = dump.services[0]
         .replicas
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -239,7 +239,7 @@
         };
         let mut dispatch = Dispatch::new(peer.clone(), 1);
         dispatch.configure(self.rules.clone(), self.now);
-        dispatch.replicas(&service(), self.replicas.clone(), self.now);
+        dispatch.set_replicas(&service(), self.replicas.clone(), self.now);
         self.nodes[n] = Some(Node {
             dispatch,
             peer,
@@ -303,7 +303,7 @@
                 })
                 .collect();
             if let Some(node) = &mut self.nodes[n] {
-                node.dispatch.routers(list, self.now);
+                node.dispatch.set_routers(list, self.now);
             }
             self.settle(n);
         }
@@ -320,7 +320,7 @@
         for n in 0..self.nodes.len() {
             if let Some(node) = &mut self.nodes[n] {
                 let list = self.replicas.clone();
-                node.dispatch.replicas(&service(), list, self.now);
+                node.dispatch.set_replicas(&service(), list, self.now);
             }
             self.settle(n);
         }
--- a/src/router/beat.rs
+++ b/src/router/beat.rs
@@ -115,7 +115,7 @@
         log::info!("router: {} other routers are up", view.len());
         self.keep_links(&view);
         let others: Vec<Peer> = view.iter().map(peer).collect();
-        self.dispatch(|d, now| d.routers(others, now));
+        self.dispatch(|d, now| d.set_routers(others, now));
     }
 
     /// Keeps a way to each router that is up, and to no other.
--- a/src/router/list.rs
+++ b/src/router/list.rs
@@ -228,7 +228,7 @@
         }
         self.dispatch(|d, now| {
             for (service, list) in services {
-                d.replicas(&service, list, now);
+                d.set_replicas(&service, list, now);
             }
         });
     }
--- a/src/router/loads.rs
+++ b/src/router/loads.rs
@@ -69,7 +69,9 @@
     };
     match router.endpoints.load(addr, WITHIN).await {
         Ok(load) if load.leaving => router.noticed_leaving(&replica),
-        Ok(load) => router.dispatch(|d, now| d.load(&replica, load.running, load.waiting, now)),
+        Ok(load) => {
+            router.dispatch(|d, now| d.record_load(&replica, load.running, load.waiting, now))
+        }
         Err(e) => log::debug!("endpoints: no load report of {replica}: {e}"),
     }
 }
--- a/src/router/passing.rs
+++ b/src/router/passing.rs
@@ -162,10 +162,10 @@
         let job = self.run.job;
         self.run.router.dispatch(|d, time| {
             if let Some(served) = served {
-                d.progress(job, served, time);
+                d.record_progress(job, served, time);
             }
             if let Some((at, had)) = last {
-                d.tokens(job, tokens - had, Span::from(now - at));
+                d.record_tokens(job, tokens - had, Span::from(now - at));
             }
         });
     }
--- a/src/slopes/model.rs
+++ b/src/slopes/model.rs
@@ -135,10 +135,10 @@
                 zone: format!("zone-{}", r % 9).parse().expect("a valid name"),
                 leaving: false,
             });
-        d.replicas(&service(s), list.collect(), now);
+        d.set_replicas(&service(s), list.collect(), now);
     }
     let others = (0..size.routers).filter(|i| *i != me).map(router);
-    d.routers(others.collect(), now);
+    d.set_routers(others.collect(), now);
     d
 }
 
