--- a/crates/gateway/src/fleet/documents.rs
+++ b/crates/gateway/src/fleet/documents.rs
@@ -8,7 +8,7 @@
     crate::{
         http::{
             exchange,
-            Ask, //
+            ClientRequest, //
         },
         serve::small::{
             serve_small,
@@ -77,7 +77,7 @@
 
 /// Gets a document of a peer; none, with a line in the log, where it can't be had.
 pub(super) async fn get<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Option<T> {
-    let ask = Ask {
+    let ask = ClientRequest {
         addr,
         method: "GET",
         target: path.to_owned(),
--- a/crates/gateway/src/http/exchange.rs
+++ b/crates/gateway/src/http/exchange.rs
@@ -26,7 +26,7 @@
 
 /// A request of our own.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Who is asked.
     pub addr: SocketAddr,
     /// The method.
@@ -71,7 +71,10 @@
 /// # Errors
 ///
 /// Where no whole answer came in time.
-pub async fn exchange(kept: &mut Option<Kept>, ask: &Ask) -> Result<Answer, ExchangeError> {
+pub async fn exchange(
+    kept: &mut Option<Kept>,
+    ask: &ClientRequest,
+) -> Result<Answer, ExchangeError> {
     let mut conn = match reuse(kept).await {
         Some(conn) => conn,
         None => open(ask).await?,
@@ -96,13 +99,13 @@
     conn.quiet().await.then_some(conn)
 }
 
-async fn open(ask: &Ask) -> Result<Conn, ExchangeError> {
+async fn open(ask: &ClientRequest) -> Result<Conn, ExchangeError> {
     let failed = |kind| ExchangeError::Connect(ask.addr, kind);
     let conn = Conn::open(ask.addr, CONNECT.min(ask.within)).await;
     conn.map_err(|e| failed(e.kind()))
 }
 
-async fn send(conn: &mut Conn, ask: &Ask) -> Result<(Answer, bool), ReadError> {
+async fn send(conn: &mut Conn, ask: &ClientRequest) -> Result<(Answer, bool), ReadError> {
     let mut headers = Headers::default();
     headers.push("Host", ask.addr);
     let mut body: &[u8] = &[];
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -35,7 +35,7 @@
     exchange::{
         exchange,
         Answer,
-        Ask,
+        ClientRequest,
         ExchangeError,
         Kept, //
     },
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -21,7 +21,7 @@
     http::{
         exchange,
         Answer,
-        Ask,
+        ClientRequest,
         ExchangeError,
         Header,
         Headers,
