--- a/crates/gateway/src/http/exchange.rs
+++ b/crates/gateway/src/http/exchange.rs
@@ -72,7 +72,7 @@
 ///
 /// Where no whole answer came in time.
 pub async fn exchange(
-    kept: &mut Option<Kept>,
+    kept: &mut Option<IdleConnection>,
     ask: &ClientRequest,
 ) -> Result<Answer, ExchangeError> {
     let mut conn = match reuse(kept).await {
@@ -85,16 +85,16 @@
         .map_err(|_| lost(format!("nothing within {:?}", ask.within)))?
         .map_err(|e| lost(e.to_string()))?;
     if keep {
-        *kept = Some(Kept(conn));
+        *kept = Some(IdleConnection(conn));
     }
     Ok(answer)
 }
 
 /// A connection that is kept between requests of our own.
 #[derive(Debug)]
-pub struct Kept(Conn);
+pub struct IdleConnection(Conn);
 
-async fn reuse(kept: &mut Option<Kept>) -> Option<Conn> {
+async fn reuse(kept: &mut Option<IdleConnection>) -> Option<Conn> {
     let mut conn = kept.take()?.0;
     conn.quiet().await.then_some(conn)
 }
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -37,7 +37,7 @@
         Answer,
         ClientRequest,
         ExchangeError,
-        Kept, //
+        IdleConnection, //
     },
     head::{
         Header,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -25,7 +25,7 @@
         ExchangeError,
         Header,
         Headers,
-        Kept, //
+        IdleConnection, //
     },
     logs::start_logs,
     model::{
