--- a/crates/gateway/src/fleet/documents.rs
+++ b/crates/gateway/src/fleet/documents.rs
@@ -83,7 +83,7 @@
         target: path.to_owned(),
         body: None,
         within: WITHIN,
-        max: MAX,
+        max_body_bytes: MAX,
     };
     let answer = exchange(&mut None, &ask)
         .await
--- a/crates/gateway/src/http/exchange.rs
+++ b/crates/gateway/src/http/exchange.rs
@@ -38,7 +38,7 @@
     /// How long all of it may take.
     pub within: Duration,
     /// Longest body of the answer, in bytes.
-    pub max: usize,
+    pub max_body_bytes: usize,
 }
 
 /// A whole answer.
@@ -127,7 +127,7 @@
         .map_err(|e| ReadError::Broken(e.kind()))?;
     let head = conn.head(HEAD_MAX, Head::response).await?;
     let mut body = Body::new(Framing::response(&head, ask.method)?);
-    let whole = body.whole(conn, ask.max).await?;
+    let whole = body.whole(conn, ask.max_body_bytes).await?;
     let keep = head.keeps() && body.reusable();
     let answer = Answer {
         status: head.status(),
