--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -133,14 +133,14 @@
     task::spawn(follow::follow_replicas(gw.clone()));
     task::spawn(follow::register(gw.clone()));
     task::spawn(serve::accept(gw.clone(), callers, stopped));
-    task::spawn(tidy(gw.clone()));
+    task::spawn(close_expired(gw.clone()));
     Ok(Gateway { shared: gw, stop })
 }
 
-async fn tidy(gw: Arc<Shared>) {
+async fn close_expired(gw: Arc<Shared>) {
     loop {
         task::sleep(TIDY).await;
-        gw.pool.tidy();
+        gw.pool.close_expired();
         log_shares(&gw);
     }
 }
--- a/crates/gateway/src/upstream/pool.rs
+++ b/crates/gateway/src/upstream/pool.rs
@@ -92,7 +92,7 @@
     }
 
     /// Closes what has been idle for too long.
-    pub(crate) fn tidy(&self) {
+    pub(crate) fn close_expired(&self) {
         let now = Instant::now();
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.retain(|_, list| {
