--- a/crates/gateway/src/fleet/documents.rs
+++ b/crates/gateway/src/fleet/documents.rs
@@ -10,9 +10,9 @@
             exchange,
             ClientRequest, //
         },
-        serve::small::{
-            serve_small,
-            Small, //
+        serve::simple::{
+            serve_simple,
+            SimpleResponse, //
         },
         state::Shared, //
     },
@@ -53,7 +53,7 @@
 
 /// Hands documents to peers that ask for them.
 pub(crate) async fn serve_documents(gw: Arc<Shared>, listener: TcpListener) {
-    serve_small(listener, move |_, target| {
+    serve_simple(listener, move |_, target| {
         let encoded = match target {
             PATH => gw.in_force().map(|force| {
                 rmp_serde::to_vec_named(&Document {
@@ -64,11 +64,11 @@
             _ => None,
         };
         match encoded {
-            None => Small::status(404),
-            Some(Ok(bytes)) => Small::body("application/msgpack", bytes),
+            None => SimpleResponse::status(404),
+            Some(Ok(bytes)) => SimpleResponse::body("application/msgpack", bytes),
             Some(Err(e)) => {
                 log::error!("event=document outcome=not-encoded path={target} cause={e:?}");
-                Small::status(500)
+                SimpleResponse::status(500)
             }
         }
     })
--- a/crates/gateway/src/serve/addresses.rs
+++ b/crates/gateway/src/serve/addresses.rs
@@ -1,9 +1,9 @@
 //! Which address callers are to use.
 
 use {
-    super::small::{
-        serve_small,
-        Small, //
+    super::simple::{
+        serve_simple,
+        SimpleResponse, //
     },
     crate::state::Shared,
     async_std::net::TcpListener,
@@ -20,19 +20,19 @@
 
 /// Answers callers who ask which address to use.
 pub(crate) async fn serve_addresses(gw: Arc<Shared>, listener: TcpListener) {
-    serve_small(listener, move |method, target| {
+    serve_simple(listener, move |method, target| {
         let Some(query) = (gw.dialect.address_query)(target) else {
-            return Small::status(404);
+            return SimpleResponse::status(404);
         };
         if method != "GET" {
-            return Small::status(400);
+            return SimpleResponse::status(400);
         }
         log::debug!("event=addresses outcome=answered zone={:?}", query.zone);
         let addresses = addresses(&gw);
         if addresses.is_empty() {
-            return Small::status(503);
+            return SimpleResponse::status(503);
         }
-        Small::body(
+        SimpleResponse::body(
             "application/json",
             (gw.dialect.address_answer)(&addresses, KEEP),
         )
--- a/crates/gateway/src/serve/mod.rs
+++ b/crates/gateway/src/serve/mod.rs
@@ -16,7 +16,7 @@
 mod sending;
 mod server;
 mod silence;
-pub(crate) mod small;
+pub(crate) mod simple;
 mod source;
 mod step;
 mod stream;
--- a/crates/gateway/src/serve/server.rs
+++ b/crates/gateway/src/serve/server.rs
@@ -3,9 +3,9 @@
 use {
     super::{
         connection::Connection,
-        small::{
-            serve_small,
-            Small, //
+        simple::{
+            serve_simple,
+            SimpleResponse, //
         },
     },
     crate::{
@@ -76,11 +76,11 @@
 
 /// Answers whether this instance can serve.
 pub(crate) async fn serve_ready(gw: Arc<Shared>, listener: TcpListener) {
-    serve_small(listener, move |_, target| {
+    serve_simple(listener, move |_, target| {
         if target != gw.dialect.ready_path {
-            return Small::status(404);
+            return SimpleResponse::status(404);
         }
-        Small::status(if gw.is_ready() { 200 } else { 503 })
+        SimpleResponse::status(if gw.is_ready() { 200 } else { 503 })
     })
     .await;
 }
@@ -91,14 +91,14 @@
     listener: TcpListener,
     handle: Option<PrometheusHandle>,
 ) {
-    serve_small(listener, move |_, target| match (target, &handle) {
+    serve_simple(listener, move |_, target| match (target, &handle) {
         ("/metrics", Some(handle)) => {
             gauges(&gw);
             handle.run_upkeep();
-            Small::body("text/plain; version=0.0.4", handle.render().into_bytes())
+            SimpleResponse::body("text/plain; version=0.0.4", handle.render().into_bytes())
         }
-        ("/state", _) => Small::body("text/plain", format!("{gw:#?}\n").into_bytes()),
-        _ => Small::status(404),
+        ("/state", _) => SimpleResponse::body("text/plain", format!("{gw:#?}\n").into_bytes()),
+        _ => SimpleResponse::status(404),
     })
     .await;
 }
--- a/crates/gateway/src/serve/small.rs
+++ b/crates/gateway/src/serve/simple.rs
@@ -35,23 +35,23 @@
 
 /// An answer to a small question.
 #[derive(Debug)]
-pub(crate) struct Small {
+pub(crate) struct SimpleResponse {
     status: u16,
     kind: &'static str,
     body: Vec<u8>,
 }
 
-impl Small {
-    pub(crate) fn status(status: u16) -> Small {
-        Small {
+impl SimpleResponse {
+    pub(crate) fn status(status: u16) -> SimpleResponse {
+        SimpleResponse {
             status,
             kind: "text/plain",
             body: Vec::new(),
         }
     }
 
-    pub(crate) fn body(kind: &'static str, body: Vec<u8>) -> Small {
-        Small {
+    pub(crate) fn body(kind: &'static str, body: Vec<u8>) -> SimpleResponse {
+        SimpleResponse {
             status: 200,
             kind,
             body,
@@ -60,9 +60,9 @@
 }
 
 /// Answers questions by method and target, for as long as the process runs.
-pub(crate) async fn serve_small<F>(listener: TcpListener, handler: F)
+pub(crate) async fn serve_simple<F>(listener: TcpListener, handler: F)
 where
-    F: Fn(&str, &str) -> Small + Send + Sync + 'static,
+    F: Fn(&str, &str) -> SimpleResponse + Send + Sync + 'static,
 {
     let handler = Arc::new(handler);
     loop {
@@ -85,7 +85,7 @@
 
 async fn serve<F>(stream: TcpStream, handler: &F) -> Result<(), ReadError>
 where
-    F: Fn(&str, &str) -> Small,
+    F: Fn(&str, &str) -> SimpleResponse,
 {
     let broken = |e: std::io::Error| ReadError::Broken(e.kind());
     let mut conn = Conn::new(stream).map_err(broken)?;
