--- a/crates/gateway/src/http/exchange.rs
+++ b/crates/gateway/src/http/exchange.rs
@@ -26,7 +26,7 @@
 
 /// A request of our own.
 #[derive(Debug, Clone)]
-pub struct Ask {
+pub struct ClientRequest {
     /// Who is asked.
     pub addr: SocketAddr,
     /// The method.
@@ -38,7 +38,7 @@
     /// How long all of it may take.
     pub within: Duration,
     /// Longest body of the answer, in bytes.
-    pub max: usize,
+    pub max_body_bytes: usize,
 }
 
 /// A whole answer.
@@ -71,7 +71,10 @@
 /// # Errors
 ///
 /// Where no whole answer came in time.
-pub async fn exchange(kept: &mut Option<Kept>, ask: &Ask) -> Result<Answer, ExchangeError> {
+pub async fn exchange(
+    kept: &mut Option<IdleConnection>,
+    ask: &ClientRequest,
+) -> Result<Answer, ExchangeError> {
     let mut conn = match reuse(kept).await {
         Some(conn) => conn,
         None => open(ask).await?,
@@ -82,27 +85,27 @@
         .map_err(|_| lost(format!("nothing within {:?}", ask.within)))?
         .map_err(|e| lost(e.to_string()))?;
     if keep {
-        *kept = Some(Kept(conn));
+        *kept = Some(IdleConnection(conn));
     }
     Ok(answer)
 }
 
 /// A connection that is kept between requests of our own.
 #[derive(Debug)]
-pub struct Kept(Conn);
+pub struct IdleConnection(Conn);
 
-async fn reuse(kept: &mut Option<Kept>) -> Option<Conn> {
+async fn reuse(kept: &mut Option<IdleConnection>) -> Option<Conn> {
     let mut conn = kept.take()?.0;
     conn.quiet().await.then_some(conn)
 }
 
-async fn open(ask: &Ask) -> Result<Conn, ExchangeError> {
+async fn open(ask: &ClientRequest) -> Result<Conn, ExchangeError> {
     let failed = |kind| ExchangeError::Connect(ask.addr, kind);
     let conn = Conn::open(ask.addr, CONNECT.min(ask.within)).await;
     conn.map_err(|e| failed(e.kind()))
 }
 
-async fn send(conn: &mut Conn, ask: &Ask) -> Result<(Answer, bool), ReadError> {
+async fn send(conn: &mut Conn, ask: &ClientRequest) -> Result<(Answer, bool), ReadError> {
     let mut headers = Headers::default();
     headers.push("Host", ask.addr);
     let mut body: &[u8] = &[];
@@ -124,7 +127,7 @@
         .map_err(|e| ReadError::Broken(e.kind()))?;
     let head = conn.head(HEAD_MAX, Head::response).await?;
     let mut body = Body::new(Framing::response(&head, ask.method)?);
-    let whole = body.whole(conn, ask.max).await?;
+    let whole = body.whole(conn, ask.max_body_bytes).await?;
     let keep = head.keeps() && body.reusable();
     let answer = Answer {
         status: head.status(),
