--- a/crates/gateway/src/fleet/documents.rs
+++ b/crates/gateway/src/fleet/documents.rs
@@ -8,11 +8,11 @@
     crate::{
         http::{
             exchange,
-            Ask, //
+            ClientRequest, //
         },
-        serve::small::{
-            serve_small,
-            Small, //
+        serve::simple::{
+            serve_simple,
+            SimpleResponse, //
         },
         state::Shared, //
     },
@@ -50,7 +50,7 @@
 
 /// Serves documents to peers.
 pub(crate) async fn serve_documents(gw: Arc<Shared>, listener: TcpListener) {
-    serve_small(listener, move |_, target| {
+    serve_simple(listener, move |_, target| {
         let encoded = match target {
             CONFIG_PATH => gw.current_config().map(|current| {
                 rmp_serde::to_vec_named(&ConfigDocument {
@@ -61,11 +61,11 @@
             _ => None,
         };
         match encoded {
-            None => Small::status(404),
-            Some(Ok(bytes)) => Small::body("application/msgpack", bytes),
+            None => SimpleResponse::status(404),
+            Some(Ok(bytes)) => SimpleResponse::body("application/msgpack", bytes),
             Some(Err(e)) => {
                 log::error!("event=document outcome=not-encoded path={target} cause={e:?}");
-                Small::status(500)
+                SimpleResponse::status(500)
             }
         }
     })
@@ -74,13 +74,13 @@
 
 /// Fetches a document from a peer. A failure is logged and returns none.
 pub(super) async fn fetch_document<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Option<T> {
-    let ask = Ask {
+    let ask = ClientRequest {
         addr,
         method: "GET",
         target: path.to_owned(),
         body: None,
         within: FETCH_TIMEOUT,
-        max: MAX_DOCUMENT_BYTES,
+        max_body_bytes: MAX_DOCUMENT_BYTES,
     };
     let answer = exchange(&mut None, &ask)
         .await
--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -18,13 +18,13 @@
             Writer, //
         },
         Action,
+        Completion,
         DispatchDump,
-        Finish,
         Job,
         JobId,
         Mode,
-        OwnerView,
         Peer,
+        PreferredRouter,
         Refusal,
         Replica,
         ReplicaId,
@@ -138,7 +138,7 @@
     }
 
     /// Takes over the list of a service's replicas.
-    pub fn replicas(&mut self, service: &ServiceId, list: Vec<Replica>, now: Time) {
+    pub fn set_replicas(&mut self, service: &ServiceId, list: Vec<Replica>, now: Time) {
         if let Some(entry) = self.services.get_mut(service) {
             entry.seats.replace(list);
         }
@@ -149,7 +149,7 @@
     ///
     /// Until it was called once, this router owns nothing and waits for slots: one that
     /// has just started and knows of nobody yet would take all slots for its own.
-    pub fn routers(&mut self, list: Vec<Peer>, now: Time) {
+    pub fn set_routers(&mut self, list: Vec<Peer>, now: Time) {
         self.listed = true;
         self.routers = list.into_iter().map(|p| (p.id.clone(), p)).collect();
         self.rank(now);
@@ -169,7 +169,11 @@
             .expect("the service is known");
         let (id, refused) = entry.submit(job, self.rules.mode, &mut self.lives, now);
         match refused {
-            Some((job, why, after)) => self.actions.push(Action::Refuse { job, why, after }),
+            Some((job, reason, retry_after)) => self.actions.push(Action::Reject {
+                job,
+                reason,
+                retry_after,
+            }),
             None => self.pump(&service, now),
         }
         id
@@ -184,9 +188,9 @@
             return;
         };
         let service = live.job.service.clone();
-        let failed = Finish {
+        let failed = Completion {
             refund: true,
-            ..Finish::default()
+            ..Completion::default()
         };
         let entry = self.services.get_mut(&service);
         let entry = entry.and_then(|entry| {
@@ -228,7 +232,7 @@
     }
 
     /// Notes how much a running request has received so far.
-    pub fn progress(&mut self, id: JobId, served: Units, _now: Time) {
+    pub fn record_progress(&mut self, id: JobId, served: Units, _now: Time) {
         let Some(live) = self.lives.get_mut(id) else {
             return;
         };
@@ -241,7 +245,7 @@
     ///
     /// The limit of a replica is learnt from these. A mean over whole requests would tell
     /// seconds late what a change of the limit has changed.
-    pub fn tokens(&mut self, id: JobId, count: u32, took: Span) {
+    pub fn record_tokens(&mut self, id: JobId, count: u32, took: Span) {
         let Some(live) = self.lives.get(id) else {
             return;
         };
@@ -251,7 +255,7 @@
     }
 
     /// Ends a started request.
-    pub fn finish(&mut self, id: JobId, f: Finish, now: Time) {
+    pub fn finish(&mut self, id: JobId, f: Completion, now: Time) {
         let Some(mut live) = self.lives.remove(id) else {
             return;
         };
@@ -278,7 +282,7 @@
 
     /// Takes in what a replica says of itself, some time after it was true: how many
     /// requests run on it and how many wait inside it.
-    pub fn load(&mut self, replica: &ReplicaId, running: u32, waiting: u32, _now: Time) {
+    pub fn record_load(&mut self, replica: &ReplicaId, running: u32, waiting: u32, _now: Time) {
         for entry in self.services.values_mut() {
             if let Some(seat) = entry.seats.all.get_mut(replica) {
                 seat.sample.said = Some((running, waiting));
@@ -322,7 +326,7 @@
     }
 
     /// Returns which routers hold how many slots of a service.
-    pub fn owners(&self, service: &ServiceId) -> Vec<OwnerView> {
+    pub fn preferred_routers(&self, service: &ServiceId) -> Vec<PreferredRouter> {
         let Some(entry) = self.services.get(service) else {
             return Vec::new();
         };
@@ -330,7 +334,7 @@
         let live = rendezvous::top(service.as_str(), live, HOMES, |id| id.as_str());
         let slots = Slots(entry.capacity().div_ceil(live.len().max(1) as u32));
         live.into_iter()
-            .map(|router| OwnerView { router, slots })
+            .map(|router| PreferredRouter { router, slots })
             .collect()
     }
 
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -27,15 +27,15 @@
     action::Action,
     core::Dispatch,
     dump::{
-        BorrowerDump,
         DispatchDump,
-        OwnerView,
+        GranteeDump,
+        PreferredRouter,
         QueueDump,
         ReplicaDump,
         ServiceDump, //
     },
     job::{
-        Finish,
+        Completion,
         Job,
         JobId, //
     },
@@ -45,9 +45,9 @@
         Replica, //
     },
     message::{
-        Lend,
         Message,
         Report, //
+        SlotGrant,
     },
     rules::{
         Mode,
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -3,8 +3,8 @@
 use {
     policy::{
         Action,
+        Completion,
         Dispatch,
-        Finish,
         Incarnation,
         Job,
         JobId,
@@ -69,7 +69,7 @@
     let mut d = Dispatch::new(peer("r1"), 1);
     d.configure(rules(mode, start), Time(0));
     let list = replicas.iter().map(|r| replica(r.0, r.1)).collect();
-    d.replicas(&SERVICE.parse().unwrap(), list, Time(0));
+    d.set_replicas(&SERVICE.parse().unwrap(), list, Time(0));
     d
 }
 
@@ -82,7 +82,7 @@
         urgency: 0,
         hint: Units(1.0),
         share: Share::ONE,
-        expect: Span::ZERO,
+        expected_run: Span::ZERO,
         prefix: None,
     }
 }
@@ -101,16 +101,20 @@
     d.take_actions()
         .into_iter()
         .filter_map(|a| match a {
-            Action::Refuse { job, why, after } => Some((job, why, after)),
+            Action::Reject {
+                job,
+                reason,
+                retry_after,
+            } => Some((job, reason, retry_after)),
             _ => None,
         })
         .collect()
 }
 
-const DONE: Finish = Finish {
+const DONE: Completion = Completion {
     units: Units(1.0),
-    first: None,
-    gap: None,
+    first_byte: None,
+    token_gap: None,
     ok: true,
     refund: false,
 };
@@ -163,7 +167,7 @@
     }
     let short = Job {
         deadline: now + Span::secs(12),
-        expect: Span::secs(11),
+        expected_run: Span::secs(11),
         ..job("w1", now)
     };
     let id = d.submit(short, now);
@@ -215,7 +219,7 @@
 #[test]
 fn static_splits_limit() {
     let mut d = router(Mode::Static, 5, &[("a", "hall-a"), ("b", "hall-a")]);
-    d.routers(vec![peer("r2"), peer("r3")], Time(0));
+    d.set_routers(vec![peer("r2"), peer("r3")], Time(0));
     let dump = d.dump();
     let allowed: Vec<u32> = dump.services[0]
         .replicas
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -9,8 +9,8 @@
 use {
     policy::{
         Action,
+        Completion,
         Dispatch,
-        Finish,
         Incarnation,
         Job,
         JobId,
@@ -239,7 +239,7 @@
         };
         let mut dispatch = Dispatch::new(peer.clone(), 1);
         dispatch.configure(self.rules.clone(), self.now);
-        dispatch.replicas(&service(), self.replicas.clone(), self.now);
+        dispatch.set_replicas(&service(), self.replicas.clone(), self.now);
         self.nodes[n] = Some(Node {
             dispatch,
             peer,
@@ -303,7 +303,7 @@
                 })
                 .collect();
             if let Some(node) = &mut self.nodes[n] {
-                node.dispatch.routers(list, self.now);
+                node.dispatch.set_routers(list, self.now);
             }
             self.settle(n);
         }
@@ -320,7 +320,7 @@
         for n in 0..self.nodes.len() {
             if let Some(node) = &mut self.nodes[n] {
                 let list = self.replicas.clone();
-                node.dispatch.replicas(&service(), list, self.now);
+                node.dispatch.set_replicas(&service(), list, self.now);
             }
             self.settle(n);
         }
@@ -361,7 +361,7 @@
             urgency: (self.now.0 / 10_000 % 10) as u8,
             hint: Units(hint),
             share: Share::ONE,
-            expect: Span::ZERO,
+            expected_run: Span::ZERO,
             prefix: None,
         };
         let Some(node) = &mut self.nodes[n] else {
@@ -388,7 +388,11 @@
         for action in node.dispatch.take_actions() {
             match action {
                 Action::Start { job, replica } => self.begin(n, job, replica),
-                Action::Refuse { job, why, after } => self.refused(n, job, why, after),
+                Action::Reject {
+                    job,
+                    reason,
+                    retry_after,
+                } => self.reject(n, job, reason, retry_after),
                 Action::Send { to, msg } => self.send(n, &to, msg),
             }
         }
@@ -409,14 +413,14 @@
         self.push(done, Event::Finish(n, inc, job));
     }
 
-    fn refused(&mut self, n: usize, job: JobId, why: policy::Refusal, after: Span) {
+    fn reject(&mut self, n: usize, job: JobId, reason: policy::Refusal, retry_after: Span) {
         let node = self.nodes[n].as_mut().unwrap();
         let open = node.open.remove(&job).expect("a refusal of an unknown job");
         assert!(open.at.is_none(), "a refusal of a started job");
         self.ended.push(Ended {
             router: n,
             workspace: open.workspace,
-            refused: Some((why, after)),
+            refused: Some((reason, retry_after)),
             waited: self.now.since(open.arrived),
         });
     }
@@ -466,10 +470,10 @@
         let Some(open) = node.open.remove(&job) else {
             return;
         };
-        let f = Finish {
+        let f = Completion {
             units: Units(open.cost),
-            first: None,
-            gap: None,
+            first_byte: None,
+            token_gap: None,
             ok: true,
             refund: false,
         };
