--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -1,4 +1,4 @@
-//! The configuration, as the store has it.
+//! Reads and watches the configuration in the store.
 
 use {
     crate::{
@@ -11,30 +11,30 @@
     std::sync::Arc, //
 };
 
-/// Where a configuration comes from, in logs.
-const FROM: &str = "store";
+/// Source of a configuration, in log lines.
+const SOURCE: &str = "store";
 
-/// Puts each configuration that the store gets in force, where it is this router's turn to
-/// watch; the others get it from their peers.
+/// Puts each new configuration of the store in force while this router watches the store. A few
+/// routers watch at a time, and the others fetch the configuration from them.
 pub(crate) async fn follow_config(gw: Arc<Shared>) {
-    // One that starts asks at once: its peers may not know of it yet, or may have none.
+    // Read once at startup: peers may not know this router yet, or have no configuration.
     if read(&gw).await.is_none() {
-        pause(&gw).await;
+        back_off(&gw).await;
     }
     loop {
-        if !is_due(&gw) {
+        if !is_watch_due(&gw) {
             task::sleep(Watch::LOOK.into()).await;
             continue;
         }
         match read(&gw).await {
             Some(revision) => watch(&gw, revision).await,
-            None => pause(&gw).await,
+            None => back_off(&gw).await,
         }
     }
 }
 
-/// Draws whether this router is to watch the store now.
-fn is_due(gw: &Shared) -> bool {
+/// Decides at random whether this router is to watch the store now.
+fn is_watch_due(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
     let routers = tables.fleet.takers();
@@ -45,51 +45,51 @@
     !gw.is_leaving() && tables.watch.is_due(fastrand::f64(), routers, now)
 }
 
-/// Tells whether this router, which watches, leaves that to another.
+/// Returns whether this router is to stop watching because another one watches.
 fn yields(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
-    // One that stands by hears who else watches only every few seconds.
+    // A standby learns only every few seconds which other routers watch.
     let others = tables.watch.others_within(tables.fleet.patience(), now);
     others || tables.watch.yields(&gw.settings.name, now)
 }
 
-/// Waits after a call that failed.
-async fn pause(gw: &Shared) {
-    let pause = {
+/// Waits after a failed call.
+async fn back_off(gw: &Shared) {
+    let delay = {
         let tables = gw.tables();
         let routers = tables.fleet.count(gw.now());
         tables.watch.pause(fastrand::f64(), routers)
     };
-    task::sleep(pause.into()).await;
+    task::sleep(delay.into()).await;
 }
 
-/// Puts a configuration in force, and has all peers told at once of a new one.
-fn take(gw: &Shared, document: Vec<u8>) {
+/// Puts a configuration in force, and announces a new one to all peers at once.
+fn apply(gw: &Shared, document: Vec<u8>) {
     let before = gw.version();
-    gw.apply_config(document, FROM);
+    gw.apply_config(document, SOURCE);
     if gw.version() > before {
         gw.announce_to_all();
     }
 }
 
-/// Reads the configuration. Returns the revision to watch from.
+/// Reads the configuration and applies it. Returns the revision to watch from.
 async fn read(gw: &Shared) -> Option<Revision> {
     let read = (gw.store.config)().await;
     gw.note_store("config", read.as_ref().err());
     if read == Ok(None) {
-        log::debug!("event=config outcome=none from={FROM}");
+        log::debug!("event=config outcome=none from={SOURCE}");
     }
     let Ok(Some(read)) = read else {
         gw.tables().watch.failed();
         return None;
     };
     gw.tables().watch.confirmed(gw.now());
-    take(gw, read.value);
+    apply(gw, read.value);
     Some(read.revision)
 }
 
-/// Watches from a revision on, until the store fails or another router does it.
+/// Watches for changes after a revision, until the store fails or another router watches.
 async fn watch(gw: &Shared, mut revision: Revision) {
     log::info!("event=watch outcome=begun revision={revision}");
     let cause = loop {
@@ -99,11 +99,11 @@
             Ok(watched) => {
                 gw.tables().watch.confirmed(gw.now());
                 if let Some(value) = watched.value {
-                    take(gw, value);
+                    apply(gw, value);
                 }
                 revision.number = watched.revision.number.max(revision.number);
             }
-            // What changed meanwhile is read whole.
+            // The changes since the revision are no longer available, so read the full value.
             Err(StoreError::Compacted) => match read(gw).await {
                 Some(newest) => revision = newest,
                 None => break "the store no longer answers",
--- a/crates/gateway/src/follow/mod.rs
+++ b/crates/gateway/src/follow/mod.rs
@@ -1,14 +1,14 @@
-//! What the gateway follows in the platform's store.
+//! Keeps up with the platform's store: configuration, replicas and registered routers.
 
 mod config;
-mod register;
+mod registration;
 mod replicas;
 
 pub(crate) use self::{
     config::follow_config,
-    register::register,
+    registration::maintain_registration,
     replicas::{
-        apply_peer_list, //
-        follow_replicas,
+        apply_peer_list,
+        follow_replicas, //
     },
 };
--- /dev/null
+++ b/crates/gateway/src/follow/registration/tests.rs
@@ -0,0 +1,83 @@
+//! Entries that routers leave in the store for routers that start later.
+
+use {
+    super::{
+        QuarantinedUntil, //
+        RouterEntry,
+    },
+    policy::{
+        quarantine::{
+            Held,
+            Notes,
+            Quarantine,
+            RequestDigest, //
+        },
+        Span,
+        Time, //
+    },
+    serde::Serialize,
+    std::net::SocketAddr,
+};
+
+const DIGEST: RequestDigest = RequestDigest(0xdead);
+const WRITTEN_UNIX_MS: u64 = 1_800_000_000_000;
+
+fn entry(left: Span) -> RouterEntry {
+    let held = Held {
+        digest: DIGEST,
+        left,
+    };
+    let addr = "10.1.0.3:7400".parse().unwrap();
+    RouterEntry::new("r1".parse().unwrap(), addr, &[held], WRITTEN_UNIX_MS)
+}
+
+#[test]
+fn entry_keeps_quarantine_when_all_routers_end() {
+    // All routers are killed at once while a request that ends replicas is quarantined. It arrives
+    // again as soon as they are back, and only their entries still tell that it is quarantined.
+    let bytes = rmp_serde::to_vec_named(&entry(Span::secs(500))).unwrap();
+    let read: RouterEntry = rmp_serde::from_slice(&bytes).unwrap();
+    let notes = Notes {
+        held: read.quarantined_at(WRITTEN_UNIX_MS + 12_000),
+        ..Notes::default()
+    };
+    let mut started = Quarantine::default();
+    assert_eq!(started.hear(&notes, Time(0)), [DIGEST]);
+    assert_eq!(started.left(DIGEST, Time(0)), Some(Span::secs(488)));
+}
+
+#[test]
+fn old_entry_no_longer_quarantines() {
+    // An entry lives for as long as its lease is renewed. If it stored a remaining time instead of
+    // an end, every router that starts would read it and quarantine the request for that time
+    // again.
+    let entry = entry(Span::secs(500));
+    assert_eq!(entry.quarantined_at(WRITTEN_UNIX_MS + 500_000), []);
+    assert_eq!(
+        entry.quarantined[0],
+        QuarantinedUntil {
+            digest: DIGEST,
+            unix_ms: WRITTEN_UNIX_MS + 500_000
+        }
+    );
+}
+
+#[test]
+fn entry_of_an_earlier_version() {
+    // During a rolling upgrade, some routers write entries without the list of requests.
+    #[derive(Serialize)]
+    struct Earlier {
+        name: String,
+        peers: SocketAddr,
+    }
+    let earlier = Earlier {
+        name: "r1".to_owned(),
+        peers: "10.1.0.3:7400".parse().unwrap(),
+    };
+    let bytes = rmp_serde::to_vec_named(&earlier).unwrap();
+    let read: RouterEntry = rmp_serde::from_slice(&bytes).unwrap();
+    assert_eq!(
+        (read.peers, read.quarantined_at(WRITTEN_UNIX_MS)),
+        (earlier.peers, Vec::new())
+    );
+}
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -1,4 +1,4 @@
-//! The list of replicas, read in turn by the routers.
+//! Reads the list of replicas from the store. The routers take turns.
 
 use {
     crate::{
@@ -29,33 +29,32 @@
     },
 };
 
-/// How long it is remembered that a prompt's shared part was sent to a replica, in seconds: an
-/// engine's memory turns over in less.
-const CACHED_S: f64 = 30.0;
-/// Pause after a read that failed.
-const AGAIN: Duration = Duration::from_millis(150);
+/// How long a replica is assumed to have the shared part of a prompt cached after it was sent
+/// there. An engine's memory turns over in less.
+const CACHE_RETENTION_S: f64 = 30.0;
+const READ_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Reads the list again and again.
+/// Reads the list whenever it is this router's turn.
 pub(crate) async fn follow_replicas(gw: Arc<Shared>) {
     loop {
-        if !is_due(&gw) {
+        if !is_read_due(&gw) {
             task::sleep(Roster::<()>::LOOK.into()).await;
             continue;
         }
         let read = (gw.store.replicas)().await;
         gw.note_store("replicas", read.as_ref().err());
         match read {
-            Ok(list) => take(&gw, list),
+            Ok(list) => apply_store_list(&gw, list),
             Err(_) => {
                 gw.tables().roster.failed();
-                task::sleep(AGAIN).await;
+                task::sleep(READ_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Draws whether this router is to read the list of the store now.
-fn is_due(gw: &Shared) -> bool {
+/// Decides at random whether this router is to read the list from the store now.
+fn is_read_due(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
     let routers = tables.fleet.takers();
@@ -63,21 +62,21 @@
     tables.roster.is_due(fastrand::f64(), routers, since)
 }
 
-/// Takes a list that the store gave.
-fn take(gw: &Shared, list: ReplicaList) {
+/// Applies a list that was read from the store.
+fn apply_store_list(gw: &Shared, list: ReplicaList) {
     let now = gw.now();
-    let gone = {
+    let departed = {
         let roster = &mut gw.tables().roster;
         roster.read_at(list.revision, now);
-        roster.listed(entries(list.replicas), now)
+        roster.listed(listed_replicas(list.replicas), now)
     };
-    note(gw, &gone, "store");
-    // Until the peers hear of it, they draw who reads next: 85 routers, who speak every 0.4 s,
-    // read 13 times a second in place of 3.
+    finish_update(gw, &departed, "store");
+    // Announce it at once. Until the peers know of this read, each may decide to read too: 85
+    // routers with a gossip interval of 0.4 s read 13 times a second in place of 3.
     gw.announce();
 }
 
-/// Takes the list of a peer, as it was `age` ago.
+/// Applies the list of a peer, which was read from the store `age` ago.
 pub(crate) fn apply_peer_list(
     gw: &Shared,
     list: Vec<Replica>,
@@ -86,17 +85,17 @@
     from: SocketAddr,
 ) {
     let now = gw.now();
-    let gone = {
+    let departed = {
         let roster = &mut gw.tables().roster;
         if !roster.takes_list_of(era, now) {
             return;
         }
-        roster.listed_by_peer(entries(list), age, now)
+        roster.listed_by_peer(listed_replicas(list), age, now)
     };
-    note(gw, &gone, &from.to_string());
+    finish_update(gw, &departed, &from.to_string());
 }
 
-fn entries(list: Vec<Replica>) -> impl Iterator<Item = Listed<Arc<Replica>>> {
+fn listed_replicas(list: Vec<Replica>) -> impl Iterator<Item = Listed<Arc<Replica>>> {
     list.into_iter().map(|r| Listed {
         id: r.id.clone(),
         key: r.key(),
@@ -105,9 +104,9 @@
     })
 }
 
-/// Notes that there is a list, and which replicas no longer take work; forgets what is known of
-/// those that are gone.
-fn note(gw: &Shared, gone: &[ReplicaId], from: &str) {
+/// Finishes an update of the roster: drops all data on replicas that departed, logs them, and marks
+/// the list as present.
+fn finish_update(gw: &Shared, departed: &[ReplicaId], from: &str) {
     let now = gw.now();
     let mut tables = gw.tables();
     let known: HashSet<ReplicaKey> = tables.roster.known().map(|(_, r)| r.key()).collect();
@@ -117,9 +116,9 @@
     tables.last_received.retain(|key, _| known.contains(key));
     tables
         .cached_prefixes
-        .retain(|(key, _), at| known.contains(key) && now.since(*at).as_secs() < CACHED_S);
+        .retain(|(key, _), at| known.contains(key) && now.since(*at).as_secs() < CACHE_RETENTION_S);
     drop(tables);
-    for id in gone {
+    for id in departed {
         gw.pool.forget(id);
         log::info!("event=replica outcome=left replica={id} from={from}");
     }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -131,7 +131,7 @@
     task::spawn(fleet::send_messages(gw.clone(), peers));
     task::spawn(follow::follow_config(gw.clone()));
     task::spawn(follow::follow_replicas(gw.clone()));
-    task::spawn(follow::register(gw.clone()));
+    task::spawn(follow::maintain_registration(gw.clone()));
     task::spawn(serve::accept(gw.clone(), callers, stopped));
     task::spawn(close_expired(gw.clone()));
     Ok(Gateway { shared: gw, stop })
