--- a/crates/gateway/src/follow/registration.rs
+++ b/crates/gateway/src/follow/registration.rs
@@ -68,7 +68,8 @@
     /// Quarantined requests. If all routers end at once, no peer is left to pass them on to routers
     /// that start, and each such request would end three more replicas before it is quarantined
     /// again.
-    #[serde(default, rename = "held")]
+    #[serde(default)]
+    #[serde(rename = "held")]
     quarantined: Vec<QuarantinedUntil>,
 }
 
@@ -161,8 +162,8 @@
 impl Registration {
     fn is_lookup_due(&self, gw: &Shared) -> bool {
         let due = |interval| self.last_lookup.is_none_or(|at| at.elapsed() >= interval);
-        if let Some(at) = STARTUP_LOOKUPS.get(self.lookups) {
-            return self.started_at.elapsed() >= *at;
+        if let Some(delay) = STARTUP_LOOKUPS.get(self.lookups) {
+            return self.started_at.elapsed() >= *delay;
         }
         let now = gw.now();
         let tables = gw.tables();
--- a/crates/gateway/src/follow/registration/tests.rs
+++ b/crates/gateway/src/follow/registration/tests.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        QuarantinedUntil, //
-        RouterEntry,
+        QuarantinedUntil,
+        RouterEntry, //
     },
     policy::{
         quarantine::{
