--- a/crates/gateway/src/model/config.rs
+++ b/crates/gateway/src/model/config.rs
@@ -42,13 +42,13 @@
     /// Longest time that a caller is kept waiting.
     pub timeout: Duration,
     /// The time to an answer, or to a stream's first event, that is aimed at.
-    pub target: Duration,
+    pub latency_target: Duration,
     /// Services that share its requests, by weight.
     pub split: Vec<(ServiceId, u32)>,
     /// Most replicas that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
-    pub open: bool,
+    pub public: bool,
 }
 
 /// What may be repeated of a request.
@@ -78,9 +78,9 @@
     /// Requests that one runs at once.
     pub slots: u32,
     /// Tokens that one has memory for.
-    pub memory: u64,
+    pub memory_tokens: u64,
     /// Whether one can copy cached parts of prompts from another.
-    pub copies: bool,
+    pub copies_cache: bool,
 }
 
 /// Bounds on what callers send, and what all workspaces share.
@@ -113,10 +113,13 @@
 impl Config {
     /// Adds a route of a host.
     pub fn add_route(&mut self, host: &str, route: Route) {
-        if route.streams() {
+        if route.is_stream() {
             for (service, _) in &route.split {
-                let least = self.shortest.entry(service.clone()).or_insert(route.target);
-                *least = route.target.min(*least);
+                let least = self
+                    .shortest
+                    .entry(service.clone())
+                    .or_insert(route.latency_target);
+                *least = route.latency_target.min(*least);
             }
         }
         let routes = self.routes.entry(host.to_ascii_lowercase()).or_default();
@@ -169,7 +172,7 @@
     }
 
     /// Tells whether a request that may have run can be sent again from the start.
-    pub fn repeatable(&self) -> bool {
+    pub fn is_repeatable(&self) -> bool {
         matches!(
             self.kind,
             RouteKind::Idempotent | RouteKind::Stream { resume: true }
@@ -177,7 +180,7 @@
     }
 
     /// Tells whether it is answered by a stream.
-    pub fn streams(&self) -> bool {
+    pub fn is_stream(&self) -> bool {
         matches!(self.kind, RouteKind::Stream { .. })
     }
 }
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -122,7 +122,7 @@
         shortest: force
             .config
             .shortest_target(&service)
-            .unwrap_or(route.target),
+            .unwrap_or(route.latency_target),
         service,
         workspace,
         prompt,
@@ -147,7 +147,7 @@
     let held = headers.get(dialect.key).and_then(|key| keys.get(key));
     match held {
         Some(workspace) => Ok(Some(workspace.clone())),
-        None if route.open => Ok(None),
+        None if route.public => Ok(None),
         None => Err(Own::status(401, "no workspace holds this key")),
     }
 }
--- a/crates/gateway/src/serve/course.rs
+++ b/crates/gateway/src/serve/course.rs
@@ -100,10 +100,10 @@
     ///
     /// Why it may not.
     pub(crate) fn may_run_again(&self, req: &Request) -> Result<(), NoRetry> {
-        if !req.route.repeatable() {
+        if !req.route.is_repeatable() {
             return Err(NoRetry::MayHaveRun);
         }
-        if self.ran.len() as u32 >= req.route.attempts {
+        if self.ran.len() as u32 >= req.route.max_attempts {
             return Err(NoRetry::Attempts);
         }
         if !has_time(req.until) {
@@ -159,10 +159,10 @@
     ) -> Result<(), NoRetry> {
         let most = match surely_not_run {
             // A replica that turned it away has not run it.
-            true => req.route.attempts.max(2),
-            false => req.route.attempts,
+            true => req.route.max_attempts.max(2),
+            false => req.route.max_attempts,
         };
-        let safe = surely_not_run && !self.may_have_run || req.route.repeatable();
+        let safe = surely_not_run && !self.may_have_run || req.route.is_repeatable();
         if !safe {
             return Err(NoRetry::MayHaveRun);
         }
--- a/crates/gateway/src/serve/sending.rs
+++ b/crates/gateway/src/serve/sending.rs
@@ -150,5 +150,5 @@
 pub(super) fn is_stream(req: &Request, reply: &Reply) -> bool {
     let kind = reply.head.headers.get("content-type").unwrap_or_default();
     let good = (200..300).contains(&reply.head.status());
-    req.route.streams() && good && kind.starts_with("text/event-stream")
+    req.route.is_stream() && good && kind.starts_with("text/event-stream")
 }
--- a/crates/gateway/src/serve/silence.rs
+++ b/crates/gateway/src/serve/silence.rs
@@ -33,5 +33,5 @@
 /// Waits until a plain request that may be repeated is to be tried elsewhere as well.
 pub(super) async fn patience(req: &Request) {
     let left = req.until.saturating_duration_since(Instant::now());
-    task::sleep((req.route.target * PATIENCE).min(left / 2)).await;
+    task::sleep((req.route.latency_target * PATIENCE).min(left / 2)).await;
 }
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -92,7 +92,7 @@
     source: &mut Source,
     course: &mut Course,
 ) -> Result<Option<Source>, TryError> {
-    if !req.route.repeatable() {
+    if !req.route.is_repeatable() {
         source.read().await?;
         return Ok(None);
     }
--- a/crates/gateway/src/serve/trail.rs
+++ b/crates/gateway/src/serve/trail.rs
@@ -85,7 +85,7 @@
         course.tried.last().map_or("-", |r| r.as_str()),
         course.tried.len(),
         course.sends,
-        req.route.attempts,
+        req.route.max_attempts,
         course.last.map_or(-1, |at| at.elapsed().as_millis() as i64),
         req.until
             .saturating_duration_since(Instant::now())
--- a/crates/gateway/tests/gateway/stage.rs
+++ b/crates/gateway/tests/gateway/stage.rs
@@ -173,16 +173,16 @@
         ("/resume/", RouteKind::Stream { resume: true }, 2, false),
         ("/open/", RouteKind::Idempotent, 2, true),
     ];
-    for (prefix, kind, attempts, open) in routes {
+    for (prefix, kind, max_attempts, public) in routes {
         let route = Route {
             name: prefix.replace('/', ""),
             prefix: prefix.to_owned(),
             kind,
             timeout: Duration::from_millis(json["timeout"].as_u64().unwrap()),
-            target: Duration::from_millis(300),
+            latency_target: Duration::from_millis(300),
             split: vec![("s".parse().unwrap(), 1)],
-            attempts,
-            open,
+            max_attempts,
+            public,
         };
         config.add_route("a.example", route);
     }
