--- a/crates/gateway/src/follow/registration.rs
+++ b/crates/gateway/src/follow/registration.rs
@@ -5,7 +5,7 @@
         clock::unix_ms,
         state::Shared,
         Lease,
-        Registered,
+        RegisteredRouter,
         Revision, //
     },
     async_std::task,
@@ -217,7 +217,7 @@
     /// Applies the entries of all routers, and checks whether this router's is still among them.
     async fn look_up_routers(&mut self, gw: &Shared) {
         let asked_at = gw.now();
-        let listed = (gw.store.routers)().await;
+        let listed = (gw.store.list_routers)().await;
         gw.note_store("routers", listed.as_ref().err());
         let Ok(listed) = listed else { return };
         let entries = decode_entries(&listed);
@@ -266,7 +266,7 @@
 
 /// Renews the lease. Returns false if it has ended.
 async fn renew(gw: &Shared, lease: Lease) -> bool {
-    let renewed = (gw.store.renew)(lease).await;
+    let renewed = (gw.store.renew_lease)(lease).await;
     gw.note_store("renew", renewed.as_ref().err());
     // If the call failed the lease may still be valid, so the entry is kept and renewed again
     // later.
@@ -279,7 +279,7 @@
 
 /// Takes out a lease and writes the entry under it.
 async fn register(gw: &Shared) -> Option<LocalEntry> {
-    let lease = (gw.store.lease)(LEASE_DURATION).await;
+    let lease = (gw.store.grant_lease)(LEASE_DURATION).await;
     gw.note_store("lease", lease.as_ref().err());
     let lease = lease.ok()?;
     let renewed_at = Instant::now();
@@ -317,8 +317,8 @@
 
 /// Decodes the entries, each with the number of its lease, and skips those that can't be
 /// decoded.
-fn decode_entries(listed: &[Registered]) -> Vec<(RouterEntry, u64)> {
-    let decode = |r: &Registered| match rmp_serde::from_slice::<RouterEntry>(&r.value) {
+fn decode_entries(listed: &[RegisteredRouter]) -> Vec<(RouterEntry, u64)> {
+    let decode = |r: &RegisteredRouter| match rmp_serde::from_slice::<RouterEntry>(&r.value) {
         Ok(entry) => Some((entry, r.lease)),
         Err(e) => {
             log::warn!("event=register outcome=not-understood cause={e:?}");
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -41,7 +41,7 @@
             task::sleep(Roster::<()>::LOOK.into()).await;
             continue;
         }
-        let read = (gw.store.replicas)().await;
+        let read = (gw.store.list_replicas)().await;
         gw.note_store("replicas", read.as_ref().err());
         match read {
             Ok(list) => apply_store_list(&gw, list),
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -35,8 +35,7 @@
         Engine,
         Lease,
         Limits,
-        Pending,
-        Registered,
+        RegisteredRouter,
         Replica,
         ReplicaList,
         Revision,
@@ -46,8 +45,9 @@
         State,
         Store,
         StoreError,
+        StoreFuture,
         Versioned,
-        Watched, //
+        WatchResult, //
     },
     settings::{
         Bounds,
--- a/crates/gateway/src/model/mod.rs
+++ b/crates/gateway/src/model/mod.rs
@@ -24,13 +24,13 @@
     },
     store::{
         Lease,
-        Pending,
-        Registered,
+        RegisteredRouter,
         ReplicaList,
         Revision,
         Store,
         StoreError,
+        StoreFuture,
         Versioned,
-        Watched, //
+        WatchResult, //
     },
 };
--- a/crates/gateway/src/model/store.rs
+++ b/crates/gateway/src/model/store.rs
@@ -15,29 +15,29 @@
 pub use policy::Revision;
 
 /// An answer that is on its way.
-pub type Pending<T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send>>;
+pub type StoreFuture<T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send>>;
 
 /// Calls to the store. Each makes one call, or one for each page, and repeats nothing.
 pub struct Store {
     /// Reads the configuration.
-    pub config: Box<dyn Fn() -> Pending<Option<Versioned>> + Send + Sync>,
+    pub read_config: Box<dyn Fn() -> StoreFuture<Option<Versioned>> + Send + Sync>,
     /// Waits for a change of the configuration after a revision.
-    pub watch: Box<dyn Fn(Revision, Duration) -> Pending<Watched> + Send + Sync>,
+    pub watch_config: Box<dyn Fn(Revision, Duration) -> StoreFuture<WatchResult> + Send + Sync>,
     /// Lists all replicas as they are now.
-    pub replicas: Box<dyn Fn() -> Pending<ReplicaList> + Send + Sync>,
+    pub list_replicas: Box<dyn Fn() -> StoreFuture<ReplicaList> + Send + Sync>,
     /// Lists what routers have registered; may be seconds old.
-    pub routers: Box<dyn Fn() -> Pending<Vec<Registered>> + Send + Sync>,
+    pub list_routers: Box<dyn Fn() -> StoreFuture<Vec<RegisteredRouter>> + Send + Sync>,
     /// Takes out a lease of this length, and returns it.
-    pub lease: Box<dyn Fn(Duration) -> Pending<Lease> + Send + Sync>,
+    pub grant_lease: Box<dyn Fn(Duration) -> StoreFuture<Lease> + Send + Sync>,
     /// Renews a lease; false where it has ended.
-    pub renew: Box<dyn Fn(Lease) -> Pending<bool> + Send + Sync>,
+    pub renew_lease: Box<dyn Fn(Lease) -> StoreFuture<bool> + Send + Sync>,
     /// Registers a router of this name under a lease. Returns the revision of its entry.
-    pub register: Box<dyn Fn(String, Vec<u8>, Lease) -> Pending<Revision> + Send + Sync>,
+    pub register: Box<dyn Fn(String, Vec<u8>, Lease) -> StoreFuture<Revision> + Send + Sync>,
     /// Deletes the entry of a router of this name, if it is still as it was written at this revision;
     /// false where it is not.
-    pub unregister: Box<dyn Fn(String, Revision) -> Pending<bool> + Send + Sync>,
+    pub unregister: Box<dyn Fn(String, Revision) -> StoreFuture<bool> + Send + Sync>,
     /// Returns the newest era that an answer named.
-    pub era: Box<dyn Fn() -> Era + Send + Sync>,
+    pub newest_era: Box<dyn Fn() -> Era + Send + Sync>,
 }
 
 /// A lease, in the era in which it was given out.
@@ -60,7 +60,7 @@
 
 /// What a router has registered, as the store has it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Registered {
+pub struct RegisteredRouter {
     /// The bytes as they were stored.
     pub value: Vec<u8>,
     /// Number of the lease that it stands under.
@@ -84,7 +84,7 @@
 
 /// What a watch told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Watched {
+pub struct WatchResult {
     /// The newest value among the changes, if there was any.
     pub value: Option<Vec<u8>>,
     /// The revision to go on from.
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -278,7 +278,7 @@
 
     /// Notes the era of an answer of the store.
     fn note_era(&self) {
-        let era = (self.store.era)();
+        let era = (self.store.newest_era)();
         let mut eras = lock(&self.eras);
         let before = *eras;
         if eras.answered(era) {
--- a/crates/gateway/tests/gateway/stage.rs
+++ b/crates/gateway/tests/gateway/stage.rs
@@ -17,8 +17,7 @@
         Headers,
         Lease,
         Limits,
-        Pending,
-        Registered,
+        RegisteredRouter,
         ReplicaList,
         Revision,
         Route,
@@ -28,8 +27,9 @@
         State,
         Store,
         StoreError,
+        StoreFuture,
         Versioned,
-        Watched, //
+        WatchResult, //
     },
     policy::{
         placement::Prompt,
@@ -243,7 +243,7 @@
 fn from<T: Send + 'static>(
     world: &Held,
     read: impl FnOnce(&World) -> T + Send + 'static,
-) -> Pending<T> {
+) -> StoreFuture<T> {
     let world = world.clone();
     Box::pin(async move {
         let down = world.lock().unwrap().down;
@@ -271,7 +271,7 @@
     })
 }
 
-fn watch(world: &Held, after: Revision, wait: Duration) -> Pending<Watched> {
+fn watch(world: &Held, after: Revision, wait: Duration) -> StoreFuture<WatchResult> {
     let world = world.clone();
     Box::pin(async move {
         let until = Instant::now() + wait;
@@ -283,7 +283,7 @@
             }
             if written > after.number || Instant::now() >= until {
                 world.lock().unwrap().told = read.revision.number;
-                return Ok(Watched {
+                return Ok(WatchResult {
                     value: (written > after.number).then_some(read.value),
                     revision: read.revision,
                 });
@@ -293,7 +293,7 @@
     })
 }
 
-fn register(world: &Held, name: String, value: Vec<u8>, lease: Lease) -> Pending<Revision> {
+fn register(world: &Held, name: String, value: Vec<u8>, lease: Lease) -> StoreFuture<Revision> {
     let world = world.clone();
     Box::pin(async move {
         from(&world, |_| ()).await?;
@@ -307,7 +307,7 @@
     })
 }
 
-fn unregister(world: &Held, name: String, written: Revision) -> Pending<bool> {
+fn unregister(world: &Held, name: String, written: Revision) -> StoreFuture<bool> {
     let world = world.clone();
     Box::pin(async move {
         from(&world, |_| ()).await?;
@@ -317,7 +317,7 @@
     })
 }
 
-fn take_lease(world: &Held) -> Pending<Lease> {
+fn take_lease(world: &Held) -> StoreFuture<Lease> {
     let world = world.clone();
     Box::pin(async move {
         from(&world, |_| ()).await?;
@@ -342,9 +342,9 @@
     }
 }
 
-fn list_routers(world: &World) -> Vec<Registered> {
+fn list_routers(world: &World) -> Vec<RegisteredRouter> {
     let entries = world.registered.iter();
-    let entries = entries.map(|(name, value)| Registered {
+    let entries = entries.map(|(name, value)| RegisteredRouter {
         value: value.clone(),
         lease: world.lease_of(name).unwrap_or(0),
     });
@@ -360,15 +360,15 @@
     let of = || world.clone();
     let (a, b, c, d, e, f, g, h, i) = (of(), of(), of(), of(), of(), of(), of(), of(), of());
     Store {
-        config: Box::new(move || from(&a, versioned)),
-        watch: Box::new(move |after, wait| watch(&b, after, wait)),
-        replicas: Box::new(move || from(&c, list_replicas)),
-        routers: Box::new(move || from(&d, list_routers)),
-        lease: Box::new(move |_| take_lease(&e)),
-        renew: Box::new(move |lease| from(&f, move |w| renew(w, lease))),
+        read_config: Box::new(move || from(&a, versioned)),
+        watch_config: Box::new(move |after, wait| watch(&b, after, wait)),
+        list_replicas: Box::new(move || from(&c, list_replicas)),
+        list_routers: Box::new(move || from(&d, list_routers)),
+        grant_lease: Box::new(move |_| take_lease(&e)),
+        renew_lease: Box::new(move |lease| from(&f, move |w| renew(w, lease))),
         register: Box::new(move |name, value, lease| register(&g, name, value, lease)),
         unregister: Box::new(move |name, written| unregister(&h, name, written)),
-        era: Box::new(move || Era(i.lock().unwrap().era_told)),
+        newest_era: Box::new(move || Era(i.lock().unwrap().era_told)),
     }
 }
 
