--- a/crates/gateway/src/model/dialect.rs
+++ b/crates/gateway/src/model/dialect.rs
@@ -42,15 +42,15 @@
     /// Path at which the platform asks whether this instance is ready.
     pub ready_path: &'static str,
     /// Reads the prompt that a request's headers describe.
-    pub prompt: fn(&Headers) -> Option<Prompt>,
+    pub parse_prompt: fn(&Headers) -> Option<Prompt>,
     /// Reads a configuration.
-    pub config: fn(&[u8]) -> Result<Config, String>,
+    pub parse_config: fn(&[u8]) -> Result<Config, String>,
     /// Reads one replica's entry.
-    pub replica: fn(&str, &[u8]) -> Result<Replica, String>,
+    pub parse_replica: fn(&str, &[u8]) -> Result<Replica, String>,
     /// Reads a caller's question for addresses; none where the target is another.
-    pub address_query: fn(&str) -> Option<AddressQuery>,
+    pub parse_address_query: fn(&str) -> Option<AddressQuery>,
     /// Writes the answer to it: the addresses and how long to keep them.
-    pub address_answer: fn(&[SocketAddr], Duration) -> Vec<u8>,
+    pub encode_addresses: fn(&[SocketAddr], Duration) -> Vec<u8>,
 }
 
 /// Who asks for addresses.
--- a/crates/gateway/src/serve/addresses.rs
+++ b/crates/gateway/src/serve/addresses.rs
@@ -21,7 +21,7 @@
 /// Answers callers who ask which address to use.
 pub(crate) async fn serve_addresses(gw: Arc<Shared>, listener: TcpListener) {
     serve_simple(listener, move |method, target| {
-        let Some(query) = (gw.dialect.address_query)(target) else {
+        let Some(query) = (gw.dialect.parse_address_query)(target) else {
             return SimpleResponse::status(404);
         };
         if method != "GET" {
@@ -34,7 +34,7 @@
         }
         SimpleResponse::body(
             "application/json",
-            (gw.dialect.address_answer)(&addresses, KEEP),
+            (gw.dialect.encode_addresses)(&addresses, KEEP),
         )
     })
     .await;
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -102,7 +102,7 @@
     let Some(service) = route.service(&id).cloned() else {
         return Err(Own::not_run("its route names no service", READY_AGAIN));
     };
-    let prompt = (dialect.prompt)(&headers);
+    let prompt = (dialect.parse_prompt)(&headers);
     let last_event = headers.get(dialect.last_event).and_then(|v| v.parse().ok());
     clean(&mut headers, dialect);
     let asked = [method.as_bytes(), host.as_bytes(), target.as_bytes()];
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -246,7 +246,7 @@
     /// Returns whether it can be used, newer or not. An older one never comes back in force:
     /// the store's answers may be old, and peers may be behind.
     pub(crate) fn apply_config(&self, document: Vec<u8>, from: &str) -> bool {
-        let config = match (self.dialect.config)(&document) {
+        let config = match (self.dialect.parse_config)(&document) {
             Ok(config) => config,
             Err(e) => {
                 log::error!("event=config outcome=rejected from={from} cause={e:?}");
--- a/crates/gateway/tests/gateway/stage.rs
+++ b/crates/gateway/tests/gateway/stage.rs
@@ -229,11 +229,11 @@
         engine_controls: &["X-Reserve", "X-Keep-Ms"],
         retry_after: "Retry-After",
         ready_path: "/ready",
-        prompt: no_prompt,
-        config: read_config,
-        replica: no_replica,
-        address_query: query,
-        address_answer: addresses,
+        parse_prompt: no_prompt,
+        parse_config: read_config,
+        parse_replica: no_replica,
+        parse_address_query: query,
+        encode_addresses: addresses,
     }
 }
 
