--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -63,24 +63,26 @@
     /// listen for each other at the same port.
     pub seeds: Vec<SocketAddr>,
     /// Time between two words on this router's load to each peer, in milliseconds.
-    #[serde(default = "beat_ms")]
-    pub beat_ms: u64,
+    #[serde(default = "default_heartbeat_ms")]
+    #[serde(rename = "beat-ms")]
+    pub heartbeat_ms: u64,
     /// Least number of routers that take callers, where there are as many.
-    #[serde(default = "active")]
-    pub active: usize,
+    #[serde(default = "default_min_active")]
+    #[serde(rename = "active")]
+    pub min_active: usize,
 }
 
 /// Least number of routers that take callers: with one goes a twelfth of what is served, until its
 /// callers have gone elsewhere. Each tells each other its loads, so that with twice as many there are
 /// four times as many words.
-fn active() -> usize {
+fn default_min_active() -> usize {
     12
 }
 
 /// Requests that others sent in this time are not counted in a decision: three or four for
 /// each engine at 420 requests a second over 12 engines. Words every 80 ms take 23 KB/s of a
 /// router of 7, where 21 are allowed; at 120 ms about 0.01 less of what is owed was served.
-fn beat_ms() -> u64 {
+fn default_heartbeat_ms() -> u64 {
     100
 }
 
@@ -116,12 +118,12 @@
     /// File descriptors that the process may use.
     pub descriptors: u32,
     /// Processor time that it has, in cores.
-    #[serde(default = "processor")]
+    #[serde(default = "default_processor")]
     pub processor: f32,
 }
 
 /// An instance that does not know what it has counts as one of the smallest.
-fn processor() -> f32 {
+fn default_processor() -> f32 {
     0.12
 }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -323,8 +323,13 @@
         processor: settings.instance.processor,
         ready: false,
     };
-    let beat = Span::millis(settings.fleet.beat_ms);
-    Actives::new(settings.name.clone(), intro, settings.fleet.active, beat)
+    let beat = Span::millis(settings.fleet.heartbeat_ms);
+    Actives::new(
+        settings.name.clone(),
+        intro,
+        settings.fleet.min_active,
+        beat,
+    )
 }
 
 /// Locks a table. A thread that panicked with the lock held has left a table that was
--- a/crates/gateway/tests/gateway/standby.rs
+++ b/crates/gateway/tests/gateway/standby.rs
@@ -32,13 +32,13 @@
 /// Starts a gateway that is active, and two that stand by.
 fn three(replica: &Replica) -> (Stage, Stage, Stage) {
     let first = Stage::within(world(replica), "g1", |settings| {
-        settings.fleet.active = 1;
+        settings.fleet.min_active = 1;
         settings.instance.processor = 4.0;
     });
     let seed = first.settings.listen.peers;
     let others = [("g2", "127.0.0.2"), ("g3", "127.0.0.3")].map(|(name, ip)| {
         Stage::within(world(replica), name, |settings| {
-            settings.fleet.active = 1;
+            settings.fleet.min_active = 1;
             settings.instance.processor = 0.1;
             settings.listen.peers.set_ip(ip.parse().unwrap());
             settings.listen.peers.set_port(seed.port());
