--- a/crates/gateway/src/serve/attempts.rs
+++ b/crates/gateway/src/serve/attempts.rs
@@ -30,7 +30,7 @@
     },
     crate::state::Shared,
     async_std::net::TcpStream,
-    policy::Claim,
+    policy::AnswerState,
     std::{
         sync::Arc,
         time::Duration, //
@@ -49,7 +49,7 @@
 ) -> Flow {
     count_first(gw, req);
     loop {
-        let place = match gw.place(req, &course.tried, Claim::New) {
+        let place = match gw.place(req, &course.tried, AnswerState::NotStarted) {
             Ok(mut place) => {
                 course.inputs = std::mem::take(&mut place.inputs);
                 place
--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -32,7 +32,7 @@
             Standing,
             WorkspaceKey, //
         },
-        Claim,
+        AnswerState,
         ReplicaId,
         Span,
         Time, //
@@ -95,7 +95,7 @@
         self: &Arc<Shared>,
         req: &Request,
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
     ) -> Result<Place, Refused> {
         let now = self.now();
         let mut tables = self.tables();
@@ -124,7 +124,11 @@
                     inputs: String::new(),
                 })
             }
-            Some(Pick::Refuse { after, full, bound }) => {
+            Some(Pick::Refuse {
+                after: after,
+                full: full,
+                bound,
+            }) => {
                 if let (Some(prompt), Some(workspace), Some(basis)) =
                     (prompt, &req.workspace, basis)
                 {
@@ -154,7 +158,7 @@
         req: &Request,
         (prompt, engine): (&Prompt, Engine),
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
         now: Time,
     ) -> (Option<Pick>, Basis) {
         let workspace = req.workspace.as_ref().map(WorkspaceKey::of);
@@ -194,10 +198,10 @@
         }
         let wish = Wish {
             prompt,
-            claim,
+            claim: claim,
             target: Span::from(req.route.target),
             shortest: Span::from(req.shortest),
-            standing,
+            standing: standing,
             words: self.fleet.pace(),
             tuning: &gw.settings.placement,
         };
@@ -209,7 +213,7 @@
         gw: &Shared,
         req: &Request,
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
         now: Time,
     ) -> Option<Pick> {
         let usual = self.usual_failures(req);
--- a/crates/gateway/src/serve/course.rs
+++ b/crates/gateway/src/serve/course.rs
@@ -15,7 +15,7 @@
             Budget,
             Spend, //
         },
-        Claim,
+        AnswerState,
         ReplicaId,
         Time, //
     },
@@ -172,17 +172,17 @@
         if !has_time(req.until) {
             return Err(NoRetry::Time);
         }
-        if !budget(gw, req, |b, now| b.take(Claim::New, now)) {
+        if !budget(gw, req, |b, now| b.take(AnswerState::NotStarted, now)) {
             return Err(NoRetry::Budget);
         }
         Ok(())
     }
 
     /// Returns what the request has of its answer.
-    pub(crate) fn claim(&self) -> Claim {
+    pub(crate) fn claim(&self) -> AnswerState {
         match self.begun {
-            true => Claim::Begun,
-            false => Claim::New,
+            true => AnswerState::Started,
+            false => AnswerState::NotStarted,
         }
     }
 
@@ -235,7 +235,7 @@
 /// Returns how many retries of answers that have begun the budget of a request's service has left
 /// at this router.
 pub(super) fn budget_left(gw: &Shared, req: &Request) -> u32 {
-    budget(gw, req, |b, now| b.left(Claim::Begun, now))
+    budget(gw, req, |b, now| b.left(AnswerState::Started, now))
 }
 
 /// Runs a step of the retry budget of a request's service.
--- a/crates/gateway/src/serve/place.rs
+++ b/crates/gateway/src/serve/place.rs
@@ -18,7 +18,7 @@
         },
         quarantine::RequestDigest,
         quota::WorkspaceKey,
-        Claim,
+        AnswerState,
         Span,
         Time, //
     },
@@ -93,7 +93,7 @@
         gw: &Arc<Shared>,
         req: &Request,
         choice: Choice,
-        claim: Claim,
+        claim: AnswerState,
         now: Time,
     ) -> Place {
         let prompt = req.prompt.as_ref();
@@ -107,7 +107,7 @@
         if let Some(home) = prompt.and_then(Prompt::home) {
             self.cached.insert((choice.key, home), now);
         }
-        let counted = prompt.filter(|_| claim == Claim::New);
+        let counted = prompt.filter(|_| claim == AnswerState::NotStarted);
         if let (Some(prompt), Some(workspace)) = (counted, &req.workspace) {
             let key = WorkspaceKey::of(workspace);
             self.quota.given(key, prompt.cost(), now);
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -32,7 +32,7 @@
 mod watch;
 
 pub use self::{
-    claim::Claim,
+    claim::AnswerState,
     dispatch::{
         Action,
         BorrowerDump,
--- a/crates/policy/src/placement/board.rs
+++ b/crates/policy/src/placement/board.rs
@@ -306,7 +306,7 @@
         let own = self.running();
         View {
             running: own + told.max(summary.map_or(0, |told| told.running)),
-            own,
+            own: own,
             peers,
         }
     }
--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -11,7 +11,7 @@
     crate::{
         quota::Standing,
         rendezvous,
-        Claim,
+        AnswerState,
         ReplicaId,
         Span, //
     },
@@ -29,7 +29,7 @@
     /// The prompt.
     pub prompt: &'a Prompt,
     /// What it has of its answer.
-    pub claim: Claim,
+    pub claim: AnswerState,
     /// The time to the first event that is aimed at.
     pub target: Span,
     /// The shortest such time among all requests to these engines.
@@ -132,7 +132,7 @@
         .enumerate()
         .map(|(rank, engine)| rate(engine, rank, wish))
         .collect();
-    if wish.claim == Claim::Begun {
+    if wish.claim == AnswerState::Started {
         if let Some(best) = shortest_queue(&rated) {
             return Pick::Run(chosen(&rated, best));
         }
--- a/crates/policy/src/placement/plain.rs
+++ b/crates/policy/src/placement/plain.rs
@@ -9,7 +9,7 @@
         ReplicaKey, //
     },
     crate::{
-        Claim,
+        AnswerState,
         ReplicaId,
         Span, //
     },
@@ -57,12 +57,12 @@
 /// The expected time is the replica's mean time, stretched by the work that stands before
 /// the request. `roll` decides between equal ones, so that routers which see the same don't
 /// all choose the same.
-pub fn pick_plain(servers: &[Server], claim: Claim, roll: u64) -> Pick {
+pub fn pick_plain(servers: &[Server], claim: AnswerState, roll: u64) -> Pick {
     let mut best: Option<(f64, &Server)> = None;
     let start = roll as usize % servers.len().max(1);
     for server in servers.iter().cycle().skip(start).take(servers.len()) {
         let full = f64::from(server.load.running) >= f64::from(server.slots) * FULL;
-        if full && claim == Claim::New {
+        if full && claim == AnswerState::NotStarted {
             continue;
         }
         let expected = expected(server);
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -45,10 +45,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Asked {
     /// That were asked for.
+    #[serde(rename = "asked")]
     pub asked: f32,
     /// Of which were begun.
+    #[serde(rename = "given")]
     pub given: f32,
     /// That were asked for in the last second.
+    #[serde(rename = "lately")]
     pub lately: f32,
 }
 
--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        Claim,
+        AnswerState,
         Span,
         Time, //
     },
@@ -44,17 +44,17 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{retry::{Budget, Spend}, Claim, Time};
+/// use policy::{retry::{Budget, Spend}, AnswerState, Time};
 ///
 /// let mut budget = Budget::new(Spend { fraction: 0.1, floor: 0.0, reserve: 0.5 });
 /// for _ in 0..20 {
 ///     budget.first(Time(0));
 /// }
-/// assert!(budget.take(Claim::New, Time(1)));
-/// assert!(budget.take(Claim::New, Time(2)));
-/// assert!(!budget.take(Claim::New, Time(3)));
-/// assert!(budget.take(Claim::Begun, Time(4)));
-/// assert!(!budget.take(Claim::Begun, Time(5)));
+/// assert!(budget.take(AnswerState::NotStarted, Time(1)));
+/// assert!(budget.take(AnswerState::NotStarted, Time(2)));
+/// assert!(!budget.take(AnswerState::NotStarted, Time(3)));
+/// assert!(budget.take(AnswerState::Started, Time(4)));
+/// assert!(!budget.take(AnswerState::Started, Time(5)));
 /// ```
 #[derive(Debug)]
 pub struct Budget {
@@ -89,7 +89,7 @@
     }
 
     /// Takes one retry from the budget, if there is one left.
-    pub fn take(&mut self, claim: Claim, now: Time) -> bool {
+    pub fn take(&mut self, claim: AnswerState, now: Time) -> bool {
         let left = self.left(claim, now) > 0;
         if left {
             self.step(now).retries += 1;
@@ -98,14 +98,14 @@
     }
 
     /// Returns how many retries are left.
-    pub fn left(&mut self, claim: Claim, now: Time) -> u32 {
+    pub fn left(&mut self, claim: AnswerState, now: Time) -> u32 {
         self.step(now);
         let firsts: u32 = self.steps.iter().map(|s| s.firsts).sum();
         let retries: u32 = self.steps.iter().map(|s| s.retries).sum();
         let allowed = f64::from(firsts) * self.spend.fraction + self.spend.floor * WINDOW.as_secs();
         let part = match claim {
-            Claim::New => 1.0,
-            Claim::Begun => 1.0 + self.spend.reserve,
+            AnswerState::NotStarted => 1.0,
+            AnswerState::Started => 1.0 + self.spend.reserve,
         };
         ((allowed * part) as u32).saturating_sub(retries)
     }
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -22,7 +22,7 @@
             Quota,
             WorkspaceKey, //
         },
-        Claim,
+        AnswerState,
         ReplicaId,
         RouterId,
         Span,
@@ -187,11 +187,11 @@
             })
             .collect();
         let wish = Wish {
-            claim: Claim::New,
+            claim: AnswerState::NotStarted,
             prompt,
             target: Span::millis(400),
             shortest: Span::millis(250),
-            standing,
+            standing: standing,
             words: self.fleet.loads,
             tuning: &Tuning::default(),
         };
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -15,7 +15,7 @@
         Wish, //
     },
     quota::Standing,
-    Claim,
+    AnswerState,
     ReplicaId,
     Span, //
 };
@@ -49,13 +49,13 @@
 }
 
 fn choose(engines: &[Candidate], standing: f64) -> Pick {
-    choose_for(engines, standing, Claim::New)
+    choose_for(engines, standing, AnswerState::NotStarted)
 }
 
-fn choose_for(engines: &[Candidate], standing: f64, claim: Claim) -> Pick {
+fn choose_for(engines: &[Candidate], standing: f64, claim: AnswerState) -> Pick {
     let wish = Wish {
         prompt: &prompt(),
-        claim,
+        claim: claim,
         target: Span::millis(400),
         shortest: Span::millis(250),
         standing: Standing {
@@ -153,7 +153,12 @@
     for engine in &mut all {
         engine.load.running = 58;
     }
-    let Pick::Refuse { after, full, bound } = choose(&all, 0.0) else {
+    let Pick::Refuse {
+        after: after,
+        full: full,
+        bound,
+    } = choose(&all, 0.0)
+    else {
         panic!("nothing has room");
     };
     assert!(after > Span::ZERO && after <= Span::secs(2));
@@ -243,7 +248,7 @@
             let mut prompt = prompt();
             prompt.parts[1].id = id;
             let wish = Wish {
-                claim: Claim::New,
+                claim: AnswerState::NotStarted,
                 prompt: &prompt,
                 target: Span::millis(400),
                 shortest: Span::millis(250),
@@ -279,7 +284,7 @@
         output: 100,
     };
     let wish = Wish {
-        claim: Claim::New,
+        claim: AnswerState::NotStarted,
         prompt: &short,
         target: Span::millis(400),
         shortest: Span::millis(250),
@@ -305,7 +310,10 @@
         engine.load.unread = 200_000;
     }
     assert!(matches!(choose(&all, 5.0), Pick::Refuse { .. }));
-    assert!(matches!(choose_for(&all, 5.0, Claim::Begun), Pick::Run(_)));
+    assert!(matches!(
+        choose_for(&all, 5.0, AnswerState::Started),
+        Pick::Run(_)
+    ));
 }
 
 /// Guards against a stream that waits at the home of its prompt while another engine has a place.
@@ -318,7 +326,7 @@
     }
     let free = all.iter().find(|e| e.id != home).unwrap().id.clone();
     fill(&mut all, &free, 40);
-    let Pick::Run(choice) = choose_for(&all, 5.0, Claim::Begun) else {
+    let Pick::Run(choice) = choose_for(&all, 5.0, AnswerState::Started) else {
         panic!("refused");
     };
     assert_eq!(choice.replica, free);
--- a/crates/policy/tests/placement/plain.rs
+++ b/crates/policy/tests/placement/plain.rs
@@ -9,7 +9,7 @@
         ReplicaKey,
         Server, //
     },
-    Claim,
+    AnswerState,
     ReplicaId,
     Span, //
 };
@@ -31,7 +31,7 @@
 }
 
 fn chosen(servers: &[Server], roll: u64) -> String {
-    match pick_plain(servers, Claim::New, roll) {
+    match pick_plain(servers, AnswerState::NotStarted, roll) {
         Pick::Run(choice) => choice.replica.to_string(),
         Pick::Refuse { .. } => "none".to_owned(),
     }
@@ -97,7 +97,7 @@
 fn plain_begun_where_all_are_full() {
     let servers = [server("a", 20), server("b", 15)];
     assert_eq!(chosen(&servers, 0), "none");
-    let Pick::Run(choice) = pick_plain(&servers, Claim::Begun, 0) else {
+    let Pick::Run(choice) = pick_plain(&servers, AnswerState::Started, 0) else {
         panic!("refused");
     };
     assert_eq!(choice.replica.as_str(), "b");
--- a/crates/policy/tests/placement/quota.rs
+++ b/crates/policy/tests/placement/quota.rs
@@ -155,7 +155,7 @@
     let mut tally = Tally::default();
     let (large, small) = ("w1".parse().unwrap(), "w2".parse().unwrap());
     let at = |even| Standing {
-        even,
+        even: even,
         ..Standing::default()
     };
     tally.begun(&large, 10);
--- a/crates/policy/tests/retry.rs
+++ b/crates/policy/tests/retry.rs
@@ -5,7 +5,7 @@
         Budget,
         Spend, //
     },
-    Claim,
+    AnswerState,
     Span,
     Time, //
 };
@@ -23,7 +23,7 @@
         budget.first(now);
         firsts += 1;
         let mut fails = rng.bool();
-        while fails && budget.take(Claim::New, now) {
+        while fails && budget.take(AnswerState::NotStarted, now) {
             retries += 1;
             fails = rng.bool();
         }
@@ -39,10 +39,10 @@
     let mut budget = Budget::new(Spend::default());
     budget.first(Time(0));
     let taken = (0..20)
-        .filter(|i| budget.take(Claim::New, Time(*i)))
+        .filter(|i| budget.take(AnswerState::NotStarted, Time(*i)))
         .count();
     assert_eq!(taken, 5);
-    assert!(budget.take(Claim::New, Time(0) + Span::secs(11)));
+    assert!(budget.take(AnswerState::NotStarted, Time(0) + Span::secs(11)));
 }
 
 /// Guards against an answer that is cut as retries of new requests have spent the budget.
@@ -57,11 +57,11 @@
         budget.first(Time(0));
     }
     let new = (0..40)
-        .filter(|i| budget.take(Claim::New, Time(*i)))
+        .filter(|i| budget.take(AnswerState::NotStarted, Time(*i)))
         .count();
     assert_eq!(new, 20);
     let begun = (0..40)
-        .filter(|i| budget.take(Claim::Begun, Time(*i)))
+        .filter(|i| budget.take(AnswerState::Started, Time(*i)))
         .count();
     assert_eq!(begun, 5);
 }
--- a/src/router/running.rs
+++ b/src/router/running.rs
@@ -34,7 +34,7 @@
     futures_lite::future::or,
     policy::{
         tickets::Grant,
-        Claim,
+        AnswerState,
         Finish,
         JobId,
         Outcome,
@@ -272,7 +272,7 @@
         again
             && self
                 .router
-                .budget(service, |b, now| b.take(Claim::New, now))
+                .budget(service, |b, now| b.take(AnswerState::NotStarted, now))
     }
 
     fn answer(&mut self, held: Held, end: End) -> Response {
