--- a/crates/gateway/src/model/replica.rs
+++ b/crates/gateway/src/model/replica.rs
@@ -3,9 +3,9 @@
 use {
     policy::{
         placement::ReplicaKey,
-        Born,
         ReplicaId,
         ServiceId,
+        StartedAt,
         Zone, //
     },
     serde::{
@@ -21,7 +21,7 @@
     /// Its id, which a later start may bear again.
     pub id: ReplicaId,
     /// When it started, if it tells; with the id it names this start alone.
-    pub born: Option<Born>,
+    pub born: Option<StartedAt>,
     /// What it offers.
     pub service: ServiceId,
     /// Where it listens. Another replica may get the address once this one is gone.
@@ -44,7 +44,7 @@
     ///     "slots":4,"state":"Ready"}"#;
     /// let first: gateway::Replica = serde_json::from_str(text)?;
     /// let mut again = first.clone();
-    /// again.born = Some(policy::Born(1_700_000_000_000));
+    /// again.born = Some(policy::StartedAt(1_700_000_000_000));
     /// assert_ne!(first.key(), again.key());
     /// # Ok::<(), serde_json::Error>(())
     /// ```
--- a/crates/gateway/tests/gateway/requests.rs
+++ b/crates/gateway/tests/gateway/requests.rs
@@ -175,7 +175,7 @@
     wait(|| stage.get("/again/a", "1").status == 503);
     let good = echo();
     let mut entry = crate::stage::entry("i-1", &good);
-    entry.born = Some(policy::Born(1_700_000_000_000));
+    entry.born = Some(policy::StartedAt(1_700_000_000_000));
     stage.world.lock().unwrap().replicas[0] = entry;
     wait(|| stage.get("/again/a", "2").status == 200);
     assert!(!good.seen().is_empty());
--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -143,9 +143,9 @@
 /// Two starts under one id differ in it. It orders nothing, as clocks are set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct Born(pub u64);
+pub struct StartedAt(pub u64);
 
-impl fmt::Display for Born {
+impl fmt::Display for StartedAt {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}", self.0)
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -59,7 +59,6 @@
     },
     eras::Eras,
     ids::{
-        Born,
         Era,
         IdError,
         Incarnation,
@@ -67,6 +66,7 @@
         ReplicaId,
         RouterId,
         ServiceId,
+        StartedAt,
         WorkspaceId,
         Zone, //
     },
--- a/crates/policy/src/placement/board.rs
+++ b/crates/policy/src/placement/board.rs
@@ -2,10 +2,10 @@
 
 use {
     crate::{
-        Born,
         ReplicaId,
         RouterId,
         Span,
+        StartedAt,
         Time,
         Validity, //
     },
@@ -136,7 +136,7 @@
     ///
     /// A replica may start again under its id. It then holds nothing of before, and whatever is
     /// remembered under this name, here and at the peers, starts anew with it.
-    pub fn of_start(id: &ReplicaId, born: Option<Born>) -> ReplicaKey {
+    pub fn of_start(id: &ReplicaId, born: Option<StartedAt>) -> ReplicaKey {
         let seed = born.map_or(0, |b| b.0);
         ReplicaKey(xxh3_64_with_seed(id.as_str().as_bytes(), seed) as u32)
     }
--- a/crates/policy/tests/placement/roster.rs
+++ b/crates/policy/tests/placement/roster.rs
@@ -2,13 +2,13 @@
 
 use policy::{
     placement::ReplicaKey,
-    Born,
     Era,
     Listed,
     ReplicaId,
     Revision,
     Roster,
     Span,
+    StartedAt,
     Time, //
 };
 use xxhash_rust::xxh3::xxh3_64;
@@ -274,7 +274,7 @@
 }
 
 fn key(name: &str, born: u64) -> ReplicaKey {
-    ReplicaKey::of_start(&id(name), Some(Born(born)))
+    ReplicaKey::of_start(&id(name), Some(StartedAt(born)))
 }
 
 #[test]
