--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -22,11 +22,11 @@
             pick_plain,
             Candidate,
             Pick,
+            PlacementRequest, //
             Prompt,
             ReplicaKey,
             Server,
             View,
-            Wish, //
         },
         quota::{
             Standing,
@@ -196,13 +196,13 @@
         if candidates.is_empty() {
             return (None, basis);
         }
-        let wish = Wish {
+        let wish = PlacementRequest {
             prompt,
-            claim: claim,
+            answer: claim,
             target: Span::from(req.route.target),
-            shortest: Span::from(req.shortest),
-            standing: standing,
-            words: self.fleet.pace(),
+            shortest_target: Span::from(req.shortest),
+            usage: standing,
+            load_interval: self.fleet.pace(),
             tuning: &gw.settings.placement,
         };
         (Some(pick(&candidates, &wish)), basis)
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -34,7 +34,7 @@
         Bound,
         Choice,
         Pick,
-        Wish, //
+        PlacementRequest, //
     },
     plain::{
         pick_plain,
--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -25,19 +25,19 @@
 
 /// What is asked for.
 #[derive(Debug, Clone)]
-pub struct Wish<'a> {
+pub struct PlacementRequest<'a> {
     /// The prompt.
     pub prompt: &'a Prompt,
     /// What it has of its answer.
-    pub claim: AnswerState,
+    pub answer: AnswerState,
     /// The time to the first event that is aimed at.
     pub target: Span,
     /// The shortest such time among all requests to these engines.
-    pub shortest: Span,
+    pub shortest_target: Span,
     /// What its workspace had of late, against its fair share.
-    pub standing: Standing,
+    pub usage: Standing,
     /// Time between two words of a peer on what it sent to each engine.
-    pub words: Span,
+    pub load_interval: Span,
     /// How the choice is weighed.
     pub tuning: &'a Tuning,
 }
@@ -125,25 +125,25 @@
 ///
 /// A stream that has begun was let through once, and refusing it would throw away what its caller
 /// has. It goes where it waits least.
-pub fn pick(engines: &[Candidate], wish: &Wish<'_>) -> Pick {
+pub fn pick(engines: &[Candidate], wish: &PlacementRequest<'_>) -> Pick {
     let home = wish.prompt.home().unwrap_or_default();
     let rated: Vec<Rated<'_>> = rendezvous::of_hash(home, engines, |e| e.id.as_str())
         .into_iter()
         .enumerate()
         .map(|(rank, engine)| rate(engine, rank, wish))
         .collect();
-    if wish.claim == AnswerState::Started {
+    if wish.answer == AnswerState::Started {
         if let Some(best) = shortest_queue(&rated) {
             return Pick::Run(chosen(&rated, best));
         }
     }
     let tuning = wish.tuning;
-    let limit = tuning.limit(wish.standing, wish.words);
+    let limit = tuning.limit(wish.usage, wish.load_interval);
     let (homes, others) = rated.split_at(tuning.homes.min(rated.len()));
     if let Some(best) = cheapest(&rated, homes, limit) {
         return Pick::Run(best);
     }
-    if let Some(best) = cheapest(&rated, others, tuning.spare(wish.standing, wish.words)) {
+    if let Some(best) = cheapest(&rated, others, tuning.spare(wish.usage, wish.load_interval)) {
         return Pick::Run(best);
     }
     let least = homes
@@ -195,7 +195,7 @@
         .map(|r| r.engine.id.clone())
 }
 
-fn rate<'a>(engine: &'a Candidate, rank: usize, wish: &Wish<'_>) -> Rated<'a> {
+fn rate<'a>(engine: &'a Candidate, rank: usize, wish: &PlacementRequest<'_>) -> Rated<'a> {
     let (prompt, tuning) = (wish.prompt, wish.tuning);
     let cached = rank == 0 || engine.cached.is_some_and(|s| s < tuning.cached_s);
     let missing = if cached { 0 } else { prompt.shared() };
@@ -211,7 +211,7 @@
     let memory = need as f64 / (engine.memory.max(1) as f64 * tuning.memory);
     // What stands before this request stands before the next one too, whose target may be
     // shorter.
-    let shortest = (wish.shortest.as_secs() * 1e3 - BASE_MS).max(1.0);
+    let shortest = (wish.shortest_target.as_secs() * 1e3 - BASE_MS).max(1.0);
     let before = load.unread as f64 / engine.speed / shortest;
     // A prompt that takes long to read by itself is late at any engine.
     let own = tuning.own * wait / target;
@@ -261,9 +261,9 @@
 }
 
 /// Returns when a place at a home is likely: once what is to be read before has been read.
-fn after(homes: &[Rated<'_>], wish: &Wish<'_>) -> Span {
+fn after(homes: &[Rated<'_>], wish: &PlacementRequest<'_>) -> Span {
     let least = homes.iter().map(|r| r.wait).fold(f64::MAX, f64::min);
     let least = if homes.is_empty() { 0.0 } else { least };
-    let ms = least * wish.standing.share.clamp(1.0, 4.0);
+    let ms = least * wish.usage.share.clamp(1.0, 4.0);
     Span::millis(ms.clamp(wish.tuning.again_ms, AGAIN_MS) as u64)
 }
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -13,10 +13,10 @@
             Load,
             Part,
             Pick,
+            PlacementRequest, //
             Prompt,
             ReplicaKey,
             Tuning,
-            Wish, //
         },
         quota::{
             Quota,
@@ -186,13 +186,13 @@
                 cached: None,
             })
             .collect();
-        let wish = Wish {
-            claim: AnswerState::NotStarted,
+        let wish = PlacementRequest {
+            answer: AnswerState::NotStarted,
             prompt,
             target: Span::millis(400),
-            shortest: Span::millis(250),
-            standing: standing,
-            words: self.fleet.loads,
+            shortest_target: Span::millis(250),
+            usage: standing,
+            load_interval: self.fleet.loads,
             tuning: &Tuning::default(),
         };
         let Pick::Run(choice) = pick(&candidates, &wish) else {
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -9,10 +9,10 @@
         Load,
         Part,
         Pick,
+        PlacementRequest, //
         Prompt,
         ReplicaKey,
         Tuning,
-        Wish, //
     },
     quota::Standing,
     AnswerState,
@@ -53,16 +53,16 @@
 }
 
 fn choose_for(engines: &[Candidate], standing: f64, claim: AnswerState) -> Pick {
-    let wish = Wish {
+    let wish = PlacementRequest {
         prompt: &prompt(),
-        claim: claim,
+        answer: claim,
         target: Span::millis(400),
-        shortest: Span::millis(250),
-        standing: Standing {
+        shortest_target: Span::millis(250),
+        usage: Standing {
             share: standing,
             ..Standing::default()
         },
-        words: Span::millis(100),
+        load_interval: Span::millis(100),
         tuning: &Tuning::default(),
     };
     pick(engines, &wish)
@@ -247,13 +247,13 @@
         for id in 0..300 {
             let mut prompt = prompt();
             prompt.parts[1].id = id;
-            let wish = Wish {
-                claim: AnswerState::NotStarted,
+            let wish = PlacementRequest {
+                answer: AnswerState::NotStarted,
                 prompt: &prompt,
                 target: Span::millis(400),
-                shortest: Span::millis(250),
-                standing: Standing::default(),
-                words: Span::millis(100),
+                shortest_target: Span::millis(250),
+                usage: Standing::default(),
+                load_interval: Span::millis(100),
                 tuning: &Tuning::default(),
             };
             match pick(all, &wish) {
@@ -283,17 +283,17 @@
         total: 300,
         output: 100,
     };
-    let wish = Wish {
-        claim: AnswerState::NotStarted,
+    let wish = PlacementRequest {
+        answer: AnswerState::NotStarted,
         prompt: &short,
         target: Span::millis(400),
-        shortest: Span::millis(250),
-        standing: Standing {
+        shortest_target: Span::millis(250),
+        usage: Standing {
             share: 3.0,
             even: 0.5,
             ..Standing::default()
         },
-        words: Span::millis(100),
+        load_interval: Span::millis(100),
         tuning: &Tuning::default(),
     };
     let picked = pick(&all, &wish);
