--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -29,7 +29,7 @@
             View,
         },
         quota::{
-            Standing,
+            UsageStanding,
             WorkspaceKey, //
         },
         AnswerState,
@@ -60,7 +60,7 @@
 /// What a router knew when it chose among engines, for the log.
 #[derive(Debug, Clone, Copy, Default)]
 struct Basis {
-    standing: Standing,
+    standing: UsageStanding,
     view: View,
     active: bool,
 }
@@ -75,7 +75,7 @@
         write!(
             f,
             "share={:.2} even={:.2} asked={:.0} part={:.0} running={} own={} peers={} active={active}",
-            standing.share, standing.even, standing.asked, standing.part, view.running, view.own,
+            standing.share, standing.max_min_ratio, standing.demand, standing.max_min_share, view.running, view.own,
             view.peers,
         )
     }
@@ -162,7 +162,7 @@
         now: Time,
     ) -> (Option<Pick>, Basis) {
         let workspace = req.workspace.as_ref().map(WorkspaceKey::of);
-        let standing = workspace.map_or(Standing::default(), |key| {
+        let standing = workspace.map_or(UsageStanding::default(), |key| {
             if tried.is_empty() {
                 self.quota.asked(key, prompt.cost(), now);
             }
--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -9,7 +9,7 @@
         Tuning, //
     },
     crate::{
-        quota::Standing,
+        quota::UsageStanding,
         rendezvous,
         AnswerState,
         ReplicaId,
@@ -35,7 +35,7 @@
     /// The shortest such time among all requests to these engines.
     pub shortest_target: Span,
     /// What its workspace had of late, against its fair share.
-    pub usage: Standing,
+    pub usage: UsageStanding,
     /// Time between two words of a peer on what it sent to each engine.
     pub load_interval: Span,
     /// How the choice is weighed.
--- a/crates/policy/src/placement/tuning.rs
+++ b/crates/policy/src/placement/tuning.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        quota::Standing,
+        quota::UsageStanding,
         Span, //
     },
     serde::Deserialize, //
@@ -16,11 +16,11 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{placement::Tuning, quota::Standing, Span};
+/// use policy::{placement::Tuning, quota::UsageStanding, Span};
 ///
 /// let tuning = Tuning::default();
 /// let words = Span::millis(100);
-/// let at = |share| Standing { share, ..Standing::default() };
+/// let at = |share| UsageStanding { share, ..UsageStanding::default() };
 /// assert!(tuning.limit(at(2.0), words).places < tuning.limit(at(0.5), words).places);
 /// ```
 #[derive(Debug, Clone, PartialEq, Deserialize)]
@@ -118,7 +118,7 @@
 
 impl Tuning {
     /// Returns up to which fullness engines that are no homes take a workspace's requests.
-    pub fn spare(&self, standing: Standing, words: Span) -> Fullness {
+    pub fn spare(&self, standing: UsageStanding, words: Span) -> Fullness {
         let limit = self.limit(standing, words);
         let spare = match standing.share < self.over_from {
             true => self.spare_within,
@@ -143,12 +143,12 @@
     /// `words` is the time between two messages of a peer. Routers do not see what others sent since
     /// these, and with all at once an engine that looks idle gets many times what it can take. The
     /// later the messages, the more a request beyond its even part yields.
-    pub fn limit(&self, standing: Standing, words: Span) -> Fullness {
+    pub fn limit(&self, standing: UsageStanding, words: Span) -> Fullness {
         let over = (standing.share - self.over_from) / (self.over_to - self.over_from).max(0.01);
-        let uneven = ((standing.even - 1.0) / self.uneven).clamp(0.0, 1.0);
+        let uneven = ((standing.max_min_ratio - 1.0) / self.uneven).clamp(0.0, 1.0);
         let over = over.clamp(uneven, 1.0);
         let level = 1.0 + self.uneven;
-        let far = (standing.even - level) / (self.far - level).max(0.01);
+        let far = (standing.max_min_ratio - level) / (self.far - level).max(0.01);
         let late = (words.as_secs() / WORDS.as_secs()).max(1.0);
         let yields = late * (self.yields * uneven + self.yields_far * far.clamp(0.0, 1.0));
         let falls_to = |least: f64| self.full - (self.full - least) * over - yields;
--- a/crates/policy/src/quota/mod.rs
+++ b/crates/policy/src/quota/mod.rs
@@ -10,7 +10,7 @@
     table::{
         Asked,
         Quota,
-        Standing,
+        UsageStanding,
         WorkspaceKey, //
     },
     tally::{
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -104,7 +104,7 @@
 
 /// Where a request stands among those of its workspace, against the parts that are fair.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Standing {
+pub struct UsageStanding {
     /// What the workspace was given, as a multiple of its fair share of the stated capacity;
     /// 0 where none is known.
     pub share: f64,
@@ -112,11 +112,11 @@
     /// a multiple of an even part of all that was given: up to 1 for as many as make up that
     /// part. Engines give more than is stated where little has to be read anew; of the rest
     /// nobody is to have more than another who wants more. 0 where all can be given.
-    pub even: f64,
+    pub max_min_ratio: f64,
     /// What the workspace asked for in the last second, over the fleet, in tokens.
-    pub asked: f64,
+    pub demand: f64,
     /// The even part in a second, in tokens; 0 where none is known.
-    pub part: f64,
+    pub max_min_share: f64,
 }
 
 impl WorkspaceKey {
@@ -313,21 +313,21 @@
     /// little harm, as what is asked changes slowly. Judged by what it was given, a workspace
     /// above its part would get nothing for seconds and then, until all have heard of it, far too
     /// much.
-    pub fn standing(&mut self, workspace: WorkspaceKey, roll: f64, now: Time) -> Standing {
+    pub fn standing(&mut self, workspace: WorkspaceKey, roll: f64, now: Time) -> UsageStanding {
         if self.capacity <= 0.0 {
-            return Standing::default();
+            return UsageStanding::default();
         }
         let levels = self.levels(now);
         let sum = self.sum(workspace, now);
         let lately = f64::from(sum.lately);
-        Standing {
+        UsageStanding {
             share: f64::from(sum.given) / levels.stated.max(1.0),
-            even: match lately <= levels.actual {
+            max_min_ratio: match lately <= levels.actual {
                 true => 0.0,
                 false => roll * lately / levels.actual.max(1.0),
             },
-            asked: lately,
-            part: levels.actual,
+            demand: lately,
+            max_min_share: levels.actual,
         }
     }
 
--- a/crates/policy/src/quota/tally.rs
+++ b/crates/policy/src/quota/tally.rs
@@ -1,7 +1,7 @@
 //! What became of the requests of each workspace at one router, for operators.
 
 use {
-    super::Standing,
+    super::UsageStanding,
     crate::{
         placement::Bound,
         WorkspaceId, //
@@ -39,12 +39,12 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{placement::Bound, quota::{Standing, Tally}};
+/// use policy::{placement::Bound, quota::{UsageStanding, Tally}};
 ///
 /// let mut tally = Tally::default();
 /// let workspace = "w1".parse()?;
 /// tally.begun(&workspace, 100);
-/// tally.refused(&workspace, 900, Standing::default(), Bound::Slots);
+/// tally.refused(&workspace, 900, UsageStanding::default(), Bound::Slots);
 /// let (_, outcomes) = &tally.take(8)[0];
 /// assert_eq!((outcomes.begun, outcomes.slots), (100, 900));
 /// assert!(tally.take(8).is_empty());
@@ -62,9 +62,15 @@
     }
 
     /// Counts a request that is refused, by why its best engine does not take it.
-    pub fn refused(&mut self, workspace: &WorkspaceId, tokens: u64, at: Standing, bound: Bound) {
+    pub fn refused(
+        &mut self,
+        workspace: &WorkspaceId,
+        tokens: u64,
+        at: UsageStanding,
+        bound: Bound,
+    ) {
         let counts = self.of(workspace);
-        let count = match (at.even > 1.0, bound) {
+        let count = match (at.max_min_ratio > 1.0, bound) {
             (true, _) => &mut counts.beyond,
             (false, Bound::Slots) => &mut counts.slots,
             (false, Bound::Failures) => &mut counts.failures,
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -14,7 +14,7 @@
         ReplicaKey,
         Tuning,
     },
-    quota::Standing,
+    quota::UsageStanding,
     AnswerState,
     ReplicaId,
     Span, //
@@ -58,9 +58,9 @@
         answer: claim,
         target: Span::millis(400),
         shortest_target: Span::millis(250),
-        usage: Standing {
+        usage: UsageStanding {
             share: standing,
-            ..Standing::default()
+            ..UsageStanding::default()
         },
         load_interval: Span::millis(100),
         tuning: &Tuning::default(),
@@ -252,7 +252,7 @@
                 prompt: &prompt,
                 target: Span::millis(400),
                 shortest_target: Span::millis(250),
-                usage: Standing::default(),
+                usage: UsageStanding::default(),
                 load_interval: Span::millis(100),
                 tuning: &Tuning::default(),
             };
@@ -288,10 +288,10 @@
         prompt: &short,
         target: Span::millis(400),
         shortest_target: Span::millis(250),
-        usage: Standing {
+        usage: UsageStanding {
             share: 3.0,
-            even: 0.5,
-            ..Standing::default()
+            max_min_ratio: 0.5,
+            ..UsageStanding::default()
         },
         load_interval: Span::millis(100),
         tuning: &Tuning::default(),
--- a/crates/policy/tests/placement/quota.rs
+++ b/crates/policy/tests/placement/quota.rs
@@ -7,8 +7,8 @@
         Asked,
         Outcomes,
         Quota,
-        Standing,
         Tally,
+        UsageStanding,
         WorkspaceKey, //
     },
     Span,
@@ -95,7 +95,7 @@
 /// Returns how many tokens of those that a workspace asks for stand within its even part.
 fn within(quota: &mut Quota, workspace: WorkspaceKey, asked: f64, now: Time) -> f64 {
     let rolls = (0..1_000).map(|i| f64::from(i) / 1_000.0);
-    let within = rolls.filter(|roll| quota.standing(workspace, *roll, now).even < 1.0);
+    let within = rolls.filter(|roll| quota.standing(workspace, *roll, now).max_min_ratio < 1.0);
     within.count() as f64 / 1_000.0 * asked
 }
 
@@ -154,9 +154,9 @@
 fn tally_tells_refusals_apart() {
     let mut tally = Tally::default();
     let (large, small) = ("w1".parse().unwrap(), "w2".parse().unwrap());
-    let at = |even| Standing {
-        even: even,
-        ..Standing::default()
+    let at = |even| UsageStanding {
+        max_min_ratio: even,
+        ..UsageStanding::default()
     };
     tally.begun(&large, 10);
     tally.refused(&large, 20, at(0.5), Bound::Slots);
