--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -23,9 +23,9 @@
             Candidate,
             Pick,
             PlacementRequest, //
+            PlainCandidate,
             Prompt,
             ReplicaKey,
-            Server,
             View,
         },
         quota::{
@@ -217,15 +217,15 @@
         now: Time,
     ) -> Option<Pick> {
         let usual = self.usual_failures(req);
-        let servers: Vec<Server> = self
+        let servers: Vec<PlainCandidate> = self
             .open(req, tried, now)
-            .map(|(key, replica)| Server {
+            .map(|(key, replica)| PlainCandidate {
                 id: replica.id.clone(),
                 key,
                 slots: replica.slots,
                 load: self.board.load(key, now),
-                took: self.latencies.of(key),
-                near: replica.zone == gw.settings.zone,
+                mean_latency_s: self.latencies.of(key),
+                same_zone: replica.zone == gw.settings.zone,
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(usual)),
             })
             .collect();
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -38,7 +38,7 @@
     },
     plain::{
         pick_plain,
-        Server, //
+        PlainCandidate, //
     },
     speed::Speeds,
     tuning::{
--- a/crates/policy/src/placement/plain.rs
+++ b/crates/policy/src/placement/plain.rs
@@ -34,7 +34,7 @@
 
 /// A replica of a plain service that may take the request.
 #[derive(Debug, Clone)]
-pub struct Server {
+pub struct PlainCandidate {
     /// Its id.
     pub id: ReplicaId,
     /// Its short name.
@@ -44,9 +44,9 @@
     /// Its work over the fleet.
     pub load: Load,
     /// Mean time of its answers, in seconds.
-    pub took: f64,
+    pub mean_latency_s: f64,
     /// Whether it stands in this router's availability zone.
-    pub near: bool,
+    pub same_zone: bool,
     /// Part added to its expected time, for one that fails often; 0 for a sound one.
     pub penalty: f64,
 }
@@ -57,8 +57,8 @@
 /// The expected time is the replica's mean time, stretched by the work that stands before
 /// the request. `roll` decides between equal ones, so that routers which see the same don't
 /// all choose the same.
-pub fn pick_plain(servers: &[Server], claim: AnswerState, roll: u64) -> Pick {
-    let mut best: Option<(f64, &Server)> = None;
+pub fn pick_plain(servers: &[PlainCandidate], claim: AnswerState, roll: u64) -> Pick {
+    let mut best: Option<(f64, &PlainCandidate)> = None;
     let start = roll as usize % servers.len().max(1);
     for server in servers.iter().cycle().skip(start).take(servers.len()) {
         let full = f64::from(server.load.running) >= f64::from(server.slots) * FULL;
@@ -86,8 +86,8 @@
     }
 }
 
-fn expected(server: &Server) -> f64 {
+fn expected(server: &PlainCandidate) -> f64 {
     let queued = f64::from(server.load.running) / f64::from(server.slots.max(1));
-    let far = if server.near { 0.0 } else { FAR_S };
-    (server.took + far) * (IDLE_PART + queued) * (1.0 + PENALTY * server.penalty)
+    let far = if server.same_zone { 0.0 } else { FAR_S };
+    (server.mean_latency_s + far) * (IDLE_PART + queued) * (1.0 + PENALTY * server.penalty)
 }
--- a/crates/policy/tests/placement/plain.rs
+++ b/crates/policy/tests/placement/plain.rs
@@ -6,17 +6,17 @@
         Latencies,
         Load,
         Pick,
+        PlainCandidate, //
         ReplicaKey,
-        Server, //
     },
     AnswerState,
     ReplicaId,
     Span, //
 };
 
-fn server(name: &str, running: u32) -> Server {
+fn server(name: &str, running: u32) -> PlainCandidate {
     let id: ReplicaId = name.parse().unwrap();
-    Server {
+    PlainCandidate {
         key: ReplicaKey::of(&id),
         id,
         slots: 6,
@@ -24,13 +24,13 @@
             running,
             ..Load::default()
         },
-        took: 0.06,
-        near: true,
+        mean_latency_s: 0.06,
+        same_zone: true,
         penalty: 0.0,
     }
 }
 
-fn chosen(servers: &[Server], roll: u64) -> String {
+fn chosen(servers: &[PlainCandidate], roll: u64) -> String {
     match pick_plain(servers, AnswerState::NotStarted, roll) {
         Pick::Run(choice) => choice.replica.to_string(),
         Pick::Refuse { .. } => "none".to_owned(),
@@ -59,7 +59,7 @@
     for _ in 0..60 {
         times.note(servers[0].key, Span::millis(480));
     }
-    servers[0].took = times.of(servers[0].key);
+    servers[0].mean_latency_s = times.of(servers[0].key);
     assert_ne!(chosen(&servers, 0), "a");
 }
 
@@ -87,7 +87,7 @@
         times.note(servers[0].key, Span::millis(1));
     }
     for server in &mut servers {
-        server.took = times.of(server.key);
+        server.mean_latency_s = times.of(server.key);
     }
     assert_eq!(chosen(&servers, 0), "new");
 }
