--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -175,19 +175,19 @@
             active: self.fleet.is_active(),
         };
         let usual = self.usual_failures(req);
-        let home = prompt.home().unwrap_or_default();
+        let home = prompt.affinity_key().unwrap_or_default();
         let candidates: Vec<Candidate> = self
             .open(req, tried, now)
             .map(|(key, replica)| Candidate {
                 id: replica.id.clone(),
                 key,
                 slots: engine.slots,
-                copies: engine.copies,
+                can_copy: engine.copies,
                 memory: engine.memory,
                 speed: self.speeds.of(key),
                 load: self.board.load(key, now),
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(usual)),
-                cached: self
+                cached_age_s: self
                     .cached
                     .get(&(key, home))
                     .map(|at| now.since(*at).as_secs()),
--- a/crates/gateway/src/serve/place.rs
+++ b/crates/gateway/src/serve/place.rs
@@ -104,7 +104,7 @@
         };
         self.board.start(choice.key, load);
         self.health.entry(choice.key).or_default().sent(now);
-        if let Some(home) = prompt.and_then(Prompt::home) {
+        if let Some(home) = prompt.and_then(Prompt::affinity_key) {
             self.cached.insert((choice.key, home), now);
         }
         let counted = prompt.filter(|_| claim == AnswerState::NotStarted);
--- a/crates/policy/src/placement/engine.rs
+++ b/crates/policy/src/placement/engine.rs
@@ -46,10 +46,10 @@
     /// Added to its fullness, for one that fails often; 0 for a sound one.
     pub penalty: f64,
     /// Whether it can copy cached parts from another engine.
-    pub copies: bool,
+    pub can_copy: bool,
     /// When this router last sent it a request that shares the prompt's last shared part, in
     /// seconds ago.
-    pub cached: Option<f64>,
+    pub cached_age_s: Option<f64>,
 }
 
 impl Prompt {
@@ -57,7 +57,7 @@
     ///
     /// The last part belongs to the request alone, so the part before it is taken, and where
     /// there is only one, that one.
-    pub fn home(&self) -> Option<u64> {
+    pub fn affinity_key(&self) -> Option<u64> {
         let shared = self.parts.len().saturating_sub(2);
         self.parts.get(shared).map(|p| p.id)
     }
--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -126,7 +126,7 @@
 /// A stream that has begun was let through once, and refusing it would throw away what its caller
 /// has. It goes where it waits least.
 pub fn pick(engines: &[Candidate], wish: &PlacementRequest<'_>) -> Pick {
-    let home = wish.prompt.home().unwrap_or_default();
+    let home = wish.prompt.affinity_key().unwrap_or_default();
     let rated: Vec<Rated<'_>> = rendezvous::of_hash(home, engines, |e| e.id.as_str())
         .into_iter()
         .enumerate()
@@ -181,9 +181,9 @@
 /// either home through any router. Where it knows of none, the other home is asked: that costs
 /// an engine far less time than reading the parts anew.
 fn source(rated: &[Rated<'_>], best: &Rated<'_>) -> Option<ReplicaId> {
-    let used = rated.iter().filter(|r| r.engine.cached.is_some());
+    let used = rated.iter().filter(|r| r.engine.cached_age_s.is_some());
     let last = used.min_by(|a, b| {
-        let ago = |r: &Rated<'_>| r.engine.cached.unwrap_or(f64::MAX);
+        let ago = |r: &Rated<'_>| r.engine.cached_age_s.unwrap_or(f64::MAX);
         ago(a).total_cmp(&ago(b))
     });
     let other = |r: &&Rated<'_>| r.engine.key != best.engine.key;
@@ -191,16 +191,16 @@
         Some(last) => Some(last).filter(other),
         None => rated.iter().find(other),
     };
-    from.filter(|_| best.engine.copies)
+    from.filter(|_| best.engine.can_copy)
         .map(|r| r.engine.id.clone())
 }
 
 fn rate<'a>(engine: &'a Candidate, rank: usize, wish: &PlacementRequest<'_>) -> Rated<'a> {
     let (prompt, tuning) = (wish.prompt, wish.tuning);
-    let cached = rank == 0 || engine.cached.is_some_and(|s| s < tuning.cached_s);
+    let cached = rank == 0 || engine.cached_age_s.is_some_and(|s| s < tuning.cached_s);
     let missing = if cached { 0 } else { prompt.shared() };
     // Copied from another engine, shared parts are there in a fraction of the time.
-    let again = if engine.copies { 0 } else { missing };
+    let again = if engine.can_copy { 0 } else { missing };
     let copied = f64::from(missing - again) * tuning.copy_cost;
     let uncached = prompt.total.saturating_sub(prompt.shared()) + again;
     let load = engine.load;
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -182,8 +182,8 @@
                 speed: SPEED,
                 load: board.load(ReplicaKey::of(id), now),
                 penalty: 0.0,
-                copies: true,
-                cached: None,
+                can_copy: true,
+                cached_age_s: None,
             })
             .collect();
         let wish = PlacementRequest {
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -30,8 +30,8 @@
         speed: 100.0,
         load: Load::default(),
         penalty: 0.0,
-        copies: true,
-        cached: None,
+        can_copy: true,
+        cached_age_s: None,
     }
 }
 
@@ -93,7 +93,7 @@
 fn pick_home_that_was_used_copies_nothing() {
     let mut all = engines(12);
     let home = run(&all, 0.0).replica;
-    all.iter_mut().find(|e| e.id == home).unwrap().cached = Some(1.0);
+    all.iter_mut().find(|e| e.id == home).unwrap().cached_age_s = Some(1.0);
     assert_eq!(run(&all, 0.0).source, None);
 }
 
@@ -130,7 +130,7 @@
     let mut all = engines(12);
     let home = run(&all, 0.0).replica;
     fill(&mut all, &home, 58);
-    all.iter_mut().for_each(|e| e.copies = false);
+    all.iter_mut().for_each(|e| e.can_copy = false);
     let second = run(&all, 0.0);
     assert_eq!(second.uncached, 12_000);
     assert_eq!(second.source, None);
