--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -125,8 +125,8 @@
                 })
             }
             Some(Pick::Refuse {
-                after: after,
-                full: full,
+                retry_after: after,
+                fullness: full,
                 bound,
             }) => {
                 if let (Some(prompt), Some(workspace), Some(basis)) =
--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -95,9 +95,9 @@
     /// It is refused, as it would be late or push others out.
     Refuse {
         /// When a place is likely.
-        after: Span,
+        retry_after: Span,
         /// How full the best of its homes is.
-        full: f64,
+        fullness: f64,
         /// Why that engine does not take it.
         bound: Bound,
     },
@@ -150,8 +150,8 @@
         .iter()
         .min_by(|a, b| a.full.most().total_cmp(&b.full.most()));
     Pick::Refuse {
-        after: after(homes, wish),
-        full: least.map_or(0.0, |r| r.full.most()),
+        retry_after: after(homes, wish),
+        fullness: least.map_or(0.0, |r| r.full.most()),
         bound: least.map_or(Bound::None, |r| r.exceeds(limit)),
     }
 }
--- a/crates/policy/src/placement/plain.rs
+++ b/crates/policy/src/placement/plain.rs
@@ -79,8 +79,8 @@
             source: None,
         }),
         None => Pick::Refuse {
-            after: AGAIN,
-            full: 1.0,
+            retry_after: AGAIN,
+            fullness: 1.0,
             bound: Bound::Slots,
         },
     }
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -154,8 +154,8 @@
         engine.load.running = 58;
     }
     let Pick::Refuse {
-        after: after,
-        full: full,
+        retry_after: after,
+        fullness: full,
         bound,
     } = choose(&all, 0.0)
     else {
