--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -243,7 +243,7 @@
         ready
             .filter(|(id, r)| r.service == req.service && !tried.contains(id))
             .map(|(_, r)| (r.key(), r))
-            .filter(move |(key, _)| self.health.get(key).is_none_or(|h| h.open(now)))
+            .filter(move |(key, _)| self.health.get(key).is_none_or(|h| h.is_available(now)))
     }
 
     /// Returns the part of failures that is usual at a service: the least of its replicas'.
--- a/crates/policy/src/placement/health.rs
+++ b/crates/policy/src/placement/health.rs
@@ -31,10 +31,10 @@
 /// use policy::{placement::Health, Span, Time};
 ///
 /// let mut health = Health::default();
-/// assert!(health.open(Time(0)));
+/// assert!(health.is_available(Time(0)));
 /// health.unreachable(Time(0));
-/// assert!(!health.open(Time(0)));
-/// assert!(health.open(Time(0) + Span::secs(1)));
+/// assert!(!health.is_available(Time(0)));
+/// assert!(health.is_available(Time(0) + Span::secs(1)));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Health {
@@ -86,7 +86,7 @@
     }
 
     /// Tells whether it may get a request. After a rest one is let through at a time.
-    pub fn open(&self, now: Time) -> bool {
+    pub fn is_available(&self, now: Time) -> bool {
         match (self.resting, self.trying) {
             (None, _) => true,
             (Some(until), None) => now >= until,
--- a/crates/policy/tests/placement/health.rs
+++ b/crates/policy/tests/placement/health.rs
@@ -16,12 +16,12 @@
     // rests; one request at a time then finds out whether it is back.
     let mut health = Health::default();
     health.unreachable(at(0));
-    assert!(!health.open(at(299)));
-    assert!(health.open(at(300)));
+    assert!(!health.is_available(at(299)));
+    assert!(health.is_available(at(300)));
     health.sent(at(300));
-    assert!(!health.open(at(301)));
+    assert!(!health.is_available(at(301)));
     health.answered(true);
-    assert!(health.open(at(302)));
+    assert!(health.is_available(at(302)));
 }
 
 #[test]
@@ -30,8 +30,8 @@
     health.unreachable(at(0));
     health.sent(at(300));
     health.unreachable(at(301));
-    assert!(!health.open(at(800)));
-    assert!(health.open(at(901)));
+    assert!(!health.is_available(at(800)));
+    assert!(health.is_available(at(901)));
 }
 
 #[test]
@@ -42,7 +42,7 @@
     for _ in 0..40 {
         health.unreachable(at(0));
     }
-    assert!(health.open(at(300)));
+    assert!(health.is_available(at(300)));
 }
 
 #[test]
@@ -50,8 +50,8 @@
     let mut health = Health::default();
     health.unreachable(at(0));
     health.sent(at(300));
-    assert!(!health.open(at(2_700)));
-    assert!(health.open(at(2_701)));
+    assert!(!health.is_available(at(2_700)));
+    assert!(health.is_available(at(2_701)));
 }
 
 #[test]
@@ -77,7 +77,7 @@
             0 => health.broken(at(n)),
             _ => health.answered(true),
         }
-        assert!(health.open(at(n)), "{n}");
+        assert!(health.is_available(at(n)), "{n}");
     }
 }
 
@@ -85,12 +85,12 @@
 fn health_crash_rests() {
     let mut health = Health::default();
     for _ in 0..3 {
-        assert!(health.open(at(0)));
+        assert!(health.is_available(at(0)));
         health.broken(at(0));
     }
-    assert!(!health.open(at(1)));
-    assert!(health.open(at(300)));
+    assert!(!health.is_available(at(1)));
+    assert!(health.is_available(at(300)));
     health.sent(at(300));
     health.broken(at(310));
-    assert!(!health.open(at(800)));
+    assert!(!health.is_available(at(800)));
 }
