--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -111,8 +111,8 @@
     let now = gw.now();
     let mut tables = gw.tables();
     let known: HashSet<ReplicaKey> = tables.roster.known().map(|(_, r)| r.key()).collect();
-    tables.speeds.keep(|key| known.contains(&key));
-    tables.latencies.keep(|key| known.contains(&key));
+    tables.speeds.retain(|key| known.contains(&key));
+    tables.latencies.retain(|key| known.contains(&key));
     tables.health.retain(|key, _| known.contains(key));
     tables.heard.retain(|key, _| known.contains(key));
     tables
--- a/crates/gateway/src/serve/place.rs
+++ b/crates/gateway/src/serve/place.rs
@@ -138,7 +138,7 @@
         let now = self.gw.now();
         let mut tables = self.gw.tables();
         tables.board.read(self.key, self.load.unread);
-        tables.speeds.note(self.key, self.unread, took);
+        tables.speeds.record(self.key, self.unread, took);
         tables.heard.insert(self.key, now);
         drop(tables);
         self.load.unread = 0;
@@ -186,7 +186,7 @@
             tables.quarantine.answered(self.digest, now);
         }
         if self.load.memory == 0 {
-            tables.latencies.note(self.key, took);
+            tables.latencies.record(self.key, took);
         }
     }
 
--- a/crates/policy/src/placement/latency.rs
+++ b/crates/policy/src/placement/latency.rs
@@ -21,8 +21,8 @@
 /// use policy::{placement::{Latencies, ReplicaKey}, Span};
 ///
 /// let mut times = Latencies::default();
-/// times.note(ReplicaKey(1), Span::millis(40));
-/// times.note(ReplicaKey(2), Span::millis(400));
+/// times.record(ReplicaKey(1), Span::millis(40));
+/// times.record(ReplicaKey(2), Span::millis(400));
 /// assert!(times.of(ReplicaKey(1)) < times.of(ReplicaKey(2)));
 /// ```
 #[derive(Debug, Default)]
@@ -34,7 +34,7 @@
 // it would never be tried while the others are idle enough.
 impl Latencies {
     /// Notes how long an answer took.
-    pub fn note(&mut self, replica: ReplicaKey, took: Span) {
+    pub fn record(&mut self, replica: ReplicaKey, took: Span) {
         let known = self.of(replica);
         let mean = self.each.entry(replica).or_insert(known);
         *mean += (took.as_secs() - *mean) * STEP;
@@ -48,7 +48,7 @@
     }
 
     /// Forgets replicas that are gone.
-    pub fn keep(&mut self, live: impl Fn(ReplicaKey) -> bool) {
+    pub fn retain(&mut self, live: impl Fn(ReplicaKey) -> bool) {
         self.each.retain(|key, _| live(*key));
     }
 }
--- a/crates/policy/src/placement/speed.rs
+++ b/crates/policy/src/placement/speed.rs
@@ -30,7 +30,7 @@
 /// let mut speeds = Speeds::default();
 /// let before = speeds.of(ReplicaKey(1));
 /// for _ in 0..200 {
-///     speeds.note(ReplicaKey(1), 12_000, Span::millis(1_025));
+///     speeds.record(ReplicaKey(1), 12_000, Span::millis(1_025));
 /// }
 /// assert!(speeds.of(ReplicaKey(1)) < before);
 /// ```
@@ -43,7 +43,7 @@
 impl Speeds {
     /// Notes a first event that came `took` after its request was sent, when the replica had
     /// `unread` tokens to read, the request's own included.
-    pub fn note(&mut self, replica: ReplicaKey, unread: u64, took: Span) {
+    pub fn record(&mut self, replica: ReplicaKey, unread: u64, took: Span) {
         if unread < LEAST {
             return;
         }
@@ -62,7 +62,7 @@
     }
 
     /// Forgets engines that are gone.
-    pub fn keep(&mut self, live: impl Fn(ReplicaKey) -> bool) {
+    pub fn retain(&mut self, live: impl Fn(ReplicaKey) -> bool) {
         self.each.retain(|key, _| live(*key));
     }
 }
--- a/crates/policy/tests/placement/plain.rs
+++ b/crates/policy/tests/placement/plain.rs
@@ -57,7 +57,7 @@
     let mut times = Latencies::default();
     let mut servers = [server("a", 0), server("b", 2), server("c", 2)];
     for _ in 0..60 {
-        times.note(servers[0].key, Span::millis(480));
+        times.record(servers[0].key, Span::millis(480));
     }
     servers[0].mean_latency_s = times.of(servers[0].key);
     assert_ne!(chosen(&servers, 0), "a");
@@ -84,7 +84,7 @@
     let mut times = Latencies::default();
     let mut servers = [server("old", 1), server("new", 0)];
     for _ in 0..60 {
-        times.note(servers[0].key, Span::millis(1));
+        times.record(servers[0].key, Span::millis(1));
     }
     for server in &mut servers {
         server.mean_latency_s = times.of(server.key);
