--- a/crates/gateway/src/fleet/talk.rs
+++ b/crates/gateway/src/fleet/talk.rs
@@ -137,8 +137,10 @@
     occasion.note_active(&tables.fleet);
     let acts = tables.fleet.acts_active(now);
     let pace = tables.fleet.pace();
-    tables.board.hear(pace);
-    tables.quota.hear(pace * f64::from(HELLO_EVERY));
+    tables.board.set_report_interval(pace);
+    tables
+        .quota
+        .set_report_interval(pace * f64::from(HELLO_EVERY));
     tables.board.forget(now);
     tables.quota.forget(now);
     tables.quarantine.forget(now);
--- a/crates/policy/src/placement/board.rs
+++ b/crates/policy/src/placement/board.rs
@@ -167,8 +167,8 @@
 impl Board {
     /// Sets how often peers speak. In a large fleet they do so more seldom, and a word that
     /// counted for less than the time to the next would be missing most of the time.
-    pub fn hear(&mut self, every: Span) {
-        self.heard.hear(every);
+    pub fn set_report_interval(&mut self, every: Span) {
+        self.heard.set_report_interval(every);
     }
 
     /// Counts a request that is sent to a replica.
@@ -215,7 +215,7 @@
     /// Returns the work of all routers but one, to send it to that one.
     pub fn all_but(&self, peer: &RouterId, now: Time) -> Vec<(ReplicaKey, Load)> {
         let theirs = self.peers.get(peer);
-        let theirs = theirs.filter(|told| self.heard.holds(told.at, now));
+        let theirs = theirs.filter(|told| self.heard.is_valid(told.at, now));
         let keys: BTreeSet<ReplicaKey> = self.own.keys().chain(self.told.keys()).copied().collect();
         let others = keys.into_iter().map(|key| {
             let mut load = self.load(key, now);
@@ -240,11 +240,12 @@
 
     /// Drops the word of peers that were not heard for a while.
     pub fn forget(&mut self, now: Time) {
-        self.summary.take_if(|told| !self.heard.holds(told.at, now));
-        if self.oldest.is_none_or(|at| self.heard.holds(at, now)) {
+        self.summary
+            .take_if(|told| !self.heard.is_valid(told.at, now));
+        if self.oldest.is_none_or(|at| self.heard.is_valid(at, now)) {
             return;
         }
-        let heard = |told: &Told| self.heard.holds(told.at, now);
+        let heard = |told: &Told| self.heard.is_valid(told.at, now);
         let (heard, silent) = std::mem::take(&mut self.peers)
             .into_iter()
             .partition(|(_, told)| heard(told));
@@ -259,7 +260,7 @@
     /// Returns the work of a replica over the fleet.
     pub fn load(&self, replica: ReplicaKey, now: Time) -> Load {
         let summary = self.summary.as_ref();
-        let summary = summary.filter(|told| self.heard.holds(told.at, now));
+        let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
         let summed = summary.and_then(|told| told.loads.get(&replica));
         let told = self.told(replica, now);
         let mut sum = self.own(replica);
@@ -269,13 +270,13 @@
 
     /// Returns what the peers told of a replica.
     fn told(&self, replica: ReplicaKey, now: Time) -> Load {
-        if self.oldest.is_none_or(|at| self.heard.holds(at, now)) {
+        if self.oldest.is_none_or(|at| self.heard.is_valid(at, now)) {
             return self.told.get(&replica).copied().unwrap_or_default();
         }
         // Somebody is silent, and was not forgotten yet.
         let mut sum = Load::default();
         for told in self.peers.values() {
-            if !self.heard.holds(told.at, now) {
+            if !self.heard.is_valid(told.at, now) {
                 continue;
             }
             if let Some(load) = told.loads.get(&replica) {
@@ -298,11 +299,11 @@
     /// Returns what this router knows of the requests at all replicas.
     pub fn view(&self, now: Time) -> View {
         let heard = self.peers.values();
-        let heard = heard.filter(|told| self.heard.holds(told.at, now));
+        let heard = heard.filter(|told| self.heard.is_valid(told.at, now));
         let (peers, told) =
             heard.fold((0, 0), |(peers, sum), told| (peers + 1, sum + told.running));
         let summary = self.summary.as_ref();
-        let summary = summary.filter(|told| self.heard.holds(told.at, now));
+        let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
         let own = self.running();
         View {
             running: own + told.max(summary.map_or(0, |told| told.running)),
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -172,8 +172,8 @@
     }
 
     /// Sets how often peers tell their counts, which is more seldom in a large fleet.
-    pub fn hear(&mut self, every: Span) {
-        self.heard.hear(every);
+    pub fn set_report_interval(&mut self, every: Span) {
+        self.heard.set_report_interval(every);
     }
 
     /// Sets what all may have together, in tokens a second; 0 where it is not known.
@@ -239,7 +239,7 @@
     /// Returns the counts of all routers but one, to send them to that one.
     pub fn all_but(&self, peer: &RouterId, now: Time) -> Vec<(WorkspaceKey, Asked)> {
         let theirs = self.peers.get(peer);
-        let theirs = theirs.filter(|told| self.heard.holds(told.at, now));
+        let theirs = theirs.filter(|told| self.heard.is_valid(told.at, now));
         let mut all = self.told(now);
         for key in self.own.workspaces() {
             all.entry(*key).or_default().add(self.own.sum(*key, now));
@@ -254,22 +254,24 @@
 
     /// Drops what is too old to count.
     pub fn forget(&mut self, now: Time) {
-        self.peers.retain(|_, told| self.heard.holds(told.at, now));
-        self.summary.take_if(|told| !self.heard.holds(told.at, now));
+        self.peers
+            .retain(|_, told| self.heard.is_valid(told.at, now));
+        self.summary
+            .take_if(|told| !self.heard.is_valid(told.at, now));
         self.own.forget(now);
     }
 
     /// Returns the counts of the peers that were heard of late.
     fn heard(&self, now: Time) -> impl Iterator<Item = &HashMap<WorkspaceKey, Asked>> {
         let heard = self.peers.values();
-        let heard = heard.filter(move |told| self.heard.holds(told.at, now));
+        let heard = heard.filter(move |told| self.heard.is_valid(told.at, now));
         heard.map(|told| &told.counts)
     }
 
     /// Returns the counts of the last summary, where it counts.
     fn summed(&self, now: Time) -> Option<&HashMap<WorkspaceKey, Asked>> {
         let summary = self.summary.as_ref();
-        let summary = summary.filter(|told| self.heard.holds(told.at, now));
+        let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
         summary.map(|told| &told.counts)
     }
 
--- a/crates/policy/src/validity.rs
+++ b/crates/policy/src/validity.rs
@@ -14,10 +14,10 @@
 ///
 /// let mut validity = Validity::new(Span::millis(700), 2.3);
 /// let later = Time(0) + Span::secs(1);
-/// assert!(!validity.holds(Time(0), later));
+/// assert!(!validity.is_valid(Time(0), later));
 /// // A word that counted for less than the time to the next would be missing most of the time.
-/// validity.hear(Span::millis(500));
-/// assert!(validity.holds(Time(0), later));
+/// validity.set_report_interval(Span::millis(500));
+/// assert!(validity.is_valid(Time(0), later));
 /// ```
 #[derive(Debug, Clone, Copy)]
 pub struct Validity {
@@ -38,12 +38,12 @@
     }
 
     /// Sets how often peers speak.
-    pub fn hear(&mut self, every: Span) {
+    pub fn set_report_interval(&mut self, every: Span) {
         self.span = self.least.max(every * self.missed);
     }
 
     /// Tells whether a word that was heard then counts now.
-    pub fn holds(&self, at: Time, now: Time) -> bool {
+    pub fn is_valid(&self, at: Time, now: Time) -> bool {
         now.since(at) < self.span
     }
 }
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -251,7 +251,7 @@
             from_active: router.fleet.acts_active(now),
             ..Said::default()
         };
-        router.board.hear(router.fleet.pace());
+        router.board.set_report_interval(router.fleet.pace());
         let sharers = router.fleet.sharers(now);
         let summaries: Vec<(SocketAddr, u32)> = due
             .relayed
--- a/crates/policy/tests/placement/board.rs
+++ b/crates/policy/tests/placement/board.rs
@@ -72,7 +72,7 @@
     board.peer(&peer, &[(key, load(20))], Time(0));
     let before_next = Time(0) + Span::millis(1_400);
     assert_eq!(board.load(key, before_next).running, 0);
-    board.hear(Span::millis(1_500));
+    board.set_report_interval(Span::millis(1_500));
     assert_eq!(board.load(key, before_next).running, 20);
     assert_eq!(board.load(key, Time(0) + Span::secs(4)).running, 0);
 }
--- a/crates/policy/tests/placement/quota.rs
+++ b/crates/policy/tests/placement/quota.rs
@@ -109,7 +109,7 @@
         lately: 10_000.0,
     };
     quota.peer(&"r2".parse().unwrap(), &[(LARGE, flood)], at(0));
-    quota.hear(Span::millis(4_500));
+    quota.set_report_interval(Span::millis(4_500));
     quota.forget(at(4_400));
     quota.asked(SMALL, 10.0, at(4_400));
     assert!(quota.standing(LARGE, ROLL, at(4_400)).share > 1.4);
