--- a/crates/gateway/src/fleet/hear.rs
+++ b/crates/gateway/src/fleet/hear.rs
@@ -125,7 +125,7 @@
         let Some((from, at)) = word else {
             return;
         };
-        tables.board.peer(&from, &told, now);
+        tables.board.set_peer(&from, &told, now);
         drop(tables);
         self.about(about, &from, at);
     }
@@ -162,7 +162,7 @@
             return heard;
         }
         if !hello.counts.is_empty() {
-            tables.quota.peer(&hello.name, &hello.counts, now);
+            tables.quota.set_peer(&hello.name, &hello.counts, now);
         }
         tables.fleet.told_silent(&hello.silent, now);
         for addr in &hello.known {
@@ -212,7 +212,7 @@
         let gw = &self.gw;
         let now = gw.now();
         let mut tables = gw.tables();
-        tables.watch.peer(from, about.config_age(), now);
+        tables.watch.set_peer(from, about.config_age(), now);
         tables.roster.named_era(about.era, now);
         let newer = tables.roster.peer_list(about.list_age(), about.list, now);
         drop(tables);
--- a/crates/policy/src/placement/board.rs
+++ b/crates/policy/src/placement/board.rs
@@ -75,7 +75,7 @@
 /// let id: ReplicaId = "i-1".parse()?;
 /// let load = Load { running: 1, unread: 800, memory: 900 };
 /// board.start(ReplicaKey::of(&id), load);
-/// board.peer(&"r2".parse()?, &[(ReplicaKey::of(&id), load)], Time(0));
+/// board.set_peer(&"r2".parse()?, &[(ReplicaKey::of(&id), load)], Time(0));
 /// assert_eq!(board.load(ReplicaKey::of(&id), Time(0)).running, 2);
 /// # Ok::<(), policy::IdError>(())
 /// ```
@@ -194,7 +194,7 @@
     }
 
     /// Takes what a peer tells of its requests, in place of what it told before.
-    pub fn peer(&mut self, from: &RouterId, loads: &[(ReplicaKey, Load)], now: Time) {
+    pub fn set_peer(&mut self, from: &RouterId, loads: &[(ReplicaKey, Load)], now: Time) {
         let told = Told::new(loads, now);
         for (key, load) in &told.loads {
             self.told.entry(*key).or_default().add(*load);
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -225,7 +225,7 @@
     }
 
     /// Takes a peer's counts, in place of those before.
-    pub fn peer(&mut self, from: &RouterId, counts: &[(WorkspaceKey, Asked)], now: Time) {
+    pub fn set_peer(&mut self, from: &RouterId, counts: &[(WorkspaceKey, Asked)], now: Time) {
         self.peers.insert(from.clone(), Told::new(counts, now));
     }
 
--- a/crates/policy/src/watch.rs
+++ b/crates/policy/src/watch.rs
@@ -44,7 +44,7 @@
 /// // Nobody watches.
 /// assert!(watch.is_due(0.0, 2, now));
 /// // A peer does.
-/// watch.peer(&"r2".parse()?, Some(Span::millis(20)), now);
+/// watch.set_peer(&"r2".parse()?, Some(Span::millis(20)), now);
 /// assert!(!watch.is_due(0.0, 2, now));
 /// assert!(watch.is_due(0.0, 2, now + Span::secs(2)));
 /// # Ok::<(), policy::IdError>(())
@@ -102,7 +102,7 @@
     }
 
     /// Takes a peer's word on how fresh its configuration is; none where it does not watch.
-    pub fn peer(&mut self, from: &RouterId, age: Option<Span>, now: Time) {
+    pub fn set_peer(&mut self, from: &RouterId, age: Option<Span>, now: Time) {
         let Some(age) = age else {
             self.peers.remove(from);
             return;
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -364,7 +364,7 @@
                     if heard.is_some() {
                         router
                             .board
-                            .peer(&name(from), &at_replica(running), self.now);
+                            .set_peer(&name(from), &at_replica(running), self.now);
                     }
                 }
                 What::Summary {
--- a/crates/policy/tests/placement/board.rs
+++ b/crates/policy/tests/placement/board.rs
@@ -47,7 +47,7 @@
                 .filter(|key| draw(step, &format!("has {key}"), 3) > 0)
                 .map(|key| (ReplicaKey(key), load(1 + draw(step, "load", 40))))
                 .collect();
-            board.peer(from, &loads, now);
+            board.set_peer(from, &loads, now);
             told.insert(from.clone(), (now, loads));
         }
         if draw(step, "forget", 5) == 0 {
@@ -69,7 +69,7 @@
 fn board_words_of_a_large_fleet() {
     let mut board = Board::default();
     let (peer, key) = ("r-1".parse().unwrap(), ReplicaKey(1));
-    board.peer(&peer, &[(key, load(20))], Time(0));
+    board.set_peer(&peer, &[(key, load(20))], Time(0));
     let before_next = Time(0) + Span::millis(1_400);
     assert_eq!(board.load(key, before_next).running, 0);
     board.set_report_interval(Span::millis(1_500));
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -145,10 +145,10 @@
             let counts = due(self.fleet.counts).then(|| self.quotas[i].report(self.now));
             for peer in (0..active).filter(|peer| *peer != i) {
                 if let Some(loads) = &loads {
-                    self.boards[peer].peer(name, loads, self.now);
+                    self.boards[peer].set_peer(name, loads, self.now);
                 }
                 if let Some(counts) = &counts {
-                    self.quotas[peer].peer(name, counts, self.now);
+                    self.quotas[peer].set_peer(name, counts, self.now);
                 }
             }
         }
--- a/crates/policy/tests/placement/quota.rs
+++ b/crates/policy/tests/placement/quota.rs
@@ -64,7 +64,7 @@
         given: 6_000.0,
         lately: 0.0,
     };
-    quota.peer(&"r2".parse().unwrap(), &[(LARGE, flood)], at(0));
+    quota.set_peer(&"r2".parse().unwrap(), &[(LARGE, flood)], at(0));
     assert!(quota.standing(LARGE, ROLL, at(60)).share > 1.4);
     assert!(quota.standing(SMALL, ROLL, at(60)).share < 0.1);
 }
@@ -86,7 +86,7 @@
         given: 9_000.0,
         lately: 0.0,
     };
-    quota.peer(&"r2".parse().unwrap(), &[(LARGE, counts)], at(0));
+    quota.set_peer(&"r2".parse().unwrap(), &[(LARGE, counts)], at(0));
     quota.asked(LARGE, 1.0, at(2_100));
     quota.forget(at(2_100));
     assert!(quota.standing(LARGE, ROLL, at(2_100)).share < 0.1);
@@ -108,7 +108,7 @@
         given: 6_000.0,
         lately: 10_000.0,
     };
-    quota.peer(&"r2".parse().unwrap(), &[(LARGE, flood)], at(0));
+    quota.set_peer(&"r2".parse().unwrap(), &[(LARGE, flood)], at(0));
     quota.set_report_interval(Span::millis(4_500));
     quota.forget(at(4_400));
     quota.asked(SMALL, 10.0, at(4_400));
--- a/crates/policy/tests/watch/fleet.rs
+++ b/crates/policy/tests/watch/fleet.rs
@@ -114,7 +114,7 @@
             for (to, r) in self.routers.iter_mut().enumerate() {
                 // One datagram in fifty is lost.
                 if to != from && self.rng.f64() > 0.02 {
-                    r.watch.peer(&name, age, now);
+                    r.watch.set_peer(&name, age, now);
                 }
             }
         }
--- a/crates/policy/tests/watch/main.rs
+++ b/crates/policy/tests/watch/main.rs
@@ -100,7 +100,7 @@
     // the other, each a call that is paid for.
     let mut watch = Watch::default();
     let patience = Span::secs(6);
-    watch.peer(&"r1".parse().unwrap(), Some(Span::ZERO), Time(0));
+    watch.set_peer(&"r1".parse().unwrap(), Some(Span::ZERO), Time(0));
     for ms in (0..6_000).step_by(50) {
         let now = Time(0) + Span::millis(ms);
         assert!(watch.told_within(patience, now), "{ms}");
