--- a/crates/gateway/src/fleet/talk.rs
+++ b/crates/gateway/src/fleet/talk.rs
@@ -210,8 +210,8 @@
         let sharers = self.fleet.sharers(now);
         let summary = |(name, addr): &(RouterId, SocketAddr)| {
             let about = About::new(facts, due.near_next);
-            let loads = self.board.all_but(name, now);
-            let counts = self.quota.all_but(name, now);
+            let loads = self.board.loads_except(name, now);
+            let counts = self.quota.counts_except(name, now);
             (
                 Word::Summary(Summary::new(about, sharers, loads, counts)),
                 vec![*addr],
--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -75,7 +75,7 @@
         write!(
             f,
             "share={:.2} even={:.2} asked={:.0} part={:.0} running={} own={} peers={} active={active}",
-            standing.share, standing.max_min_ratio, standing.demand, standing.max_min_share, view.running, view.own,
+            standing.share, standing.max_min_ratio, standing.demand, standing.max_min_share, view.running, view.local,
             view.peers,
         )
     }
--- a/crates/policy/src/placement/board.rs
+++ b/crates/policy/src/placement/board.rs
@@ -48,7 +48,7 @@
     /// Requests of all routers, as far as it knows, its own included.
     pub running: u32,
     /// Its own.
-    pub own: u32,
+    pub local: u32,
     /// Peers that sent their loads themselves a moment ago.
     pub peers: usize,
 }
@@ -213,7 +213,7 @@
     }
 
     /// Returns the work of all routers but one, to send it to that one.
-    pub fn all_but(&self, peer: &RouterId, now: Time) -> Vec<(ReplicaKey, Load)> {
+    pub fn loads_except(&self, peer: &RouterId, now: Time) -> Vec<(ReplicaKey, Load)> {
         let theirs = self.peers.get(peer);
         let theirs = theirs.filter(|told| self.heard.is_valid(told.at, now));
         let keys: BTreeSet<ReplicaKey> = self.own.keys().chain(self.told.keys()).copied().collect();
@@ -263,7 +263,7 @@
         let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
         let summed = summary.and_then(|told| told.loads.get(&replica));
         let told = self.told(replica, now);
-        let mut sum = self.own(replica);
+        let mut sum = self.local(replica);
         sum.add(told.max(summed.copied().unwrap_or_default()));
         sum
     }
@@ -287,7 +287,7 @@
     }
 
     /// Returns this router's own work at a replica.
-    pub fn own(&self, replica: ReplicaKey) -> Load {
+    pub fn local(&self, replica: ReplicaKey) -> Load {
         self.own.get(&replica).copied().unwrap_or_default()
     }
 
@@ -307,7 +307,7 @@
         let own = self.running();
         View {
             running: own + told.max(summary.map_or(0, |told| told.running)),
-            own: own,
+            local: own,
             peers,
         }
     }
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -237,7 +237,7 @@
     }
 
     /// Returns the counts of all routers but one, to send them to that one.
-    pub fn all_but(&self, peer: &RouterId, now: Time) -> Vec<(WorkspaceKey, Asked)> {
+    pub fn counts_except(&self, peer: &RouterId, now: Time) -> Vec<(WorkspaceKey, Asked)> {
         let theirs = self.peers.get(peer);
         let theirs = theirs.filter(|told| self.heard.is_valid(told.at, now));
         let mut all = self.told(now);
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -256,7 +256,7 @@
         let summaries: Vec<(SocketAddr, u32)> = due
             .relayed
             .iter()
-            .map(|(name, addr)| (*addr, running_in(&router.board.all_but(name, now))))
+            .map(|(name, addr)| (*addr, running_in(&router.board.loads_except(name, now))))
             .collect();
         router.speaks = now + router.fleet.pace();
         let loads = |next, said| What::Loads {
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -155,9 +155,9 @@
         for (i, name) in names.iter().enumerate().skip(active) {
             if due(self.fleet.loads) {
                 let relay = i % active;
-                let loads = self.boards[relay].all_but(name, self.now);
+                let loads = self.boards[relay].loads_except(name, self.now);
                 self.boards[i].set_summary(&loads, self.now);
-                let counts = self.quotas[relay].all_but(name, self.now);
+                let counts = self.quotas[relay].counts_except(name, self.now);
                 self.quotas[i].set_summary(&counts, self.now);
             }
         }
