--- a/crates/gateway/src/fleet/beat.rs
+++ b/crates/gateway/src/fleet/beat.rs
@@ -9,7 +9,7 @@
         },
         quarantine::Notes,
         quota::{
-            Asked,
+            UsageCounts,
             WorkspaceKey, //
         },
         Era,
@@ -90,7 +90,7 @@
     /// Number of routers that share the retry budget.
     pub(crate) sharers: u16,
     loads: Vec<PackedLoad>,
-    pub(crate) counts: Vec<(WorkspaceKey, Asked)>,
+    pub(crate) counts: Vec<(WorkspaceKey, UsageCounts)>,
 }
 
 /// The load of a replica, in about 15 bytes.
@@ -113,7 +113,7 @@
     /// Requests a second that it takes.
     pub(crate) rate: f32,
     /// What workspaces asked of it over the window, and were given; to active routers.
-    pub(crate) counts: Vec<(WorkspaceKey, Asked)>,
+    pub(crate) counts: Vec<(WorkspaceKey, UsageCounts)>,
     /// Replicas that left of late.
     pub(crate) left: Vec<ReplicaKey>,
     /// Requests under which replicas end.
@@ -231,11 +231,11 @@
         about: About,
         sharers: usize,
         mut loads: Vec<(ReplicaKey, Load)>,
-        mut counts: Vec<(WorkspaceKey, Asked)>,
+        mut counts: Vec<(WorkspaceKey, UsageCounts)>,
     ) -> Summary {
         loads.sort_by_key(|(key, load)| (Reverse(load.running), *key));
         loads.truncate(MOST_LOADS);
-        counts.sort_by(|(_, a), (_, b)| b.asked.total_cmp(&a.asked));
+        counts.sort_by(|(_, a), (_, b)| b.requested.total_cmp(&a.requested));
         counts.truncate(MOST_COUNTS);
         Summary {
             about,
--- a/crates/gateway/src/fleet/beat/tests.rs
+++ b/crates/gateway/src/fleet/beat/tests.rs
@@ -17,7 +17,7 @@
         },
         quarantine::Notes,
         quota::{
-            Asked,
+            UsageCounts,
             WorkspaceKey, //
         },
         Era,
@@ -79,11 +79,11 @@
     assert!(bytes.len() <= 200, "{}", bytes.len());
 }
 
-fn counts(n: u32) -> Vec<(WorkspaceKey, Asked)> {
-    let asked = Asked {
-        asked: 1e7,
-        given: 1e6,
-        lately: 2e6,
+fn counts(n: u32) -> Vec<(WorkspaceKey, UsageCounts)> {
+    let asked = UsageCounts {
+        requested: 1e7,
+        served: 1e6,
+        recent: 2e6,
     };
     (0..n)
         .map(|i| (WorkspaceKey(0xa000_0000 + i), asked))
--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -164,7 +164,7 @@
         let workspace = req.workspace.as_ref().map(WorkspaceKey::of);
         let standing = workspace.map_or(UsageStanding::default(), |key| {
             if tried.is_empty() {
-                self.quota.asked(key, prompt.cost(), now);
+                self.quota.record_requested(key, prompt.cost(), now);
             }
             self.quota.standing(key, roll(&req.id), now)
         });
--- a/crates/gateway/src/serve/place.rs
+++ b/crates/gateway/src/serve/place.rs
@@ -110,7 +110,7 @@
         let counted = prompt.filter(|_| claim == AnswerState::NotStarted);
         if let (Some(prompt), Some(workspace)) = (counted, &req.workspace) {
             let key = WorkspaceKey::of(workspace);
-            self.quota.given(key, prompt.cost(), now);
+            self.quota.record_served(key, prompt.cost(), now);
             self.tally.begun(workspace, prompt.cost() as u64);
         }
         let replica = self.roster.get(&choice.replica).cloned();
--- a/crates/policy/src/quota/mod.rs
+++ b/crates/policy/src/quota/mod.rs
@@ -8,8 +8,8 @@
 pub use self::{
     level::level,
     table::{
-        Asked,
         Quota,
+        UsageCounts,
         UsageStanding,
         WorkspaceKey, //
     },
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -43,16 +43,16 @@
 
 /// Tokens over the window.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Asked {
+pub struct UsageCounts {
     /// That were asked for.
     #[serde(rename = "asked")]
-    pub asked: f32,
+    pub requested: f32,
     /// Of which were begun.
     #[serde(rename = "given")]
-    pub given: f32,
+    pub served: f32,
     /// That were asked for in the last second.
     #[serde(rename = "lately")]
-    pub lately: f32,
+    pub recent: f32,
 }
 
 /// The shares of workspaces in the fleet's capacity.
@@ -65,9 +65,9 @@
 /// let mut quota = Quota::new(Span::secs(4));
 /// quota.set_capacity(100.0);
 /// let (large, small) = (WorkspaceKey(1), WorkspaceKey(2));
-/// quota.asked(large, 4_000.0, Time(0));
-/// quota.given(large, 800.0, Time(0));
-/// quota.asked(small, 40.0, Time(0));
+/// quota.record_requested(large, 4_000.0, Time(0));
+/// quota.record_served(large, 800.0, Time(0));
+/// quota.record_requested(small, 40.0, Time(0));
 /// assert!(quota.standing(large, 0.5, Time(0)).share > 1.0);
 /// assert!(quota.standing(small, 0.5, Time(0)).share < 1.0);
 /// ```
@@ -90,7 +90,7 @@
 #[derive(Debug)]
 struct Told {
     at: Time,
-    counts: HashMap<WorkspaceKey, Asked>,
+    counts: HashMap<WorkspaceKey, UsageCounts>,
 }
 
 /// The most that a workspace may have over the window, in tokens.
@@ -126,30 +126,30 @@
     }
 }
 
-impl Asked {
-    pub(super) fn add(&mut self, other: Asked) {
-        self.asked += other.asked;
-        self.given += other.given;
-        self.lately += other.lately;
+impl UsageCounts {
+    pub(super) fn add(&mut self, other: UsageCounts) {
+        self.requested += other.requested;
+        self.served += other.served;
+        self.recent += other.recent;
     }
 
-    fn max(self, other: Asked) -> Asked {
-        Asked {
-            asked: self.asked.max(other.asked),
-            given: self.given.max(other.given),
-            lately: self.lately.max(other.lately),
+    fn max(self, other: UsageCounts) -> UsageCounts {
+        UsageCounts {
+            requested: self.requested.max(other.requested),
+            served: self.served.max(other.served),
+            recent: self.recent.max(other.recent),
         }
     }
 
-    fn take(&mut self, other: Asked) {
-        self.asked = (self.asked - other.asked).max(0.0);
-        self.given = (self.given - other.given).max(0.0);
-        self.lately = (self.lately - other.lately).max(0.0);
+    fn take(&mut self, other: UsageCounts) {
+        self.requested = (self.requested - other.requested).max(0.0);
+        self.served = (self.served - other.served).max(0.0);
+        self.recent = (self.recent - other.recent).max(0.0);
     }
 }
 
 impl Told {
-    fn new(counts: &[(WorkspaceKey, Asked)], now: Time) -> Told {
+    fn new(counts: &[(WorkspaceKey, UsageCounts)], now: Time) -> Told {
         Told {
             at: now,
             counts: counts.iter().copied().collect(),
@@ -183,13 +183,13 @@
     }
 
     /// Counts what a workspace asks for.
-    pub fn asked(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
-        self.own.asked(workspace, tokens, now);
+    pub fn record_requested(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
+        self.own.record_requested(workspace, tokens, now);
     }
 
     /// Counts what a workspace was given, when its request begins.
-    pub fn given(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
-        self.own.given(workspace, tokens, now);
+    pub fn record_served(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
+        self.own.record_served(workspace, tokens, now);
     }
 
     /// Returns what a workspace asks of the peers more than these have told by now, in tokens in
@@ -214,30 +214,30 @@
     }
 
     /// Returns this router's own counts, to tell the peers, and notes what it tells.
-    pub fn report(&mut self, now: Time) -> Vec<(WorkspaceKey, Asked)> {
+    pub fn report(&mut self, now: Time) -> Vec<(WorkspaceKey, UsageCounts)> {
         let keys = self.own.workspaces();
         let lately = keys.map(|key| (*key, self.own.lately(*key, now)));
         self.reported = lately.collect();
         let keys = self.own.workspaces();
         let sums = keys.map(|key| (*key, self.own.sum(*key, now)));
-        sums.filter(|(_, sum)| sum.asked > 0.0 || sum.given > 0.0)
+        sums.filter(|(_, sum)| sum.requested > 0.0 || sum.served > 0.0)
             .collect()
     }
 
     /// Takes a peer's counts, in place of those before.
-    pub fn set_peer(&mut self, from: &RouterId, counts: &[(WorkspaceKey, Asked)], now: Time) {
+    pub fn set_peer(&mut self, from: &RouterId, counts: &[(WorkspaceKey, UsageCounts)], now: Time) {
         self.peers.insert(from.clone(), Told::new(counts, now));
     }
 
     /// Replaces the sum of all other routers' counts.
     ///
     /// Some of these may send their own counts as well, so the larger of both counts.
-    pub fn set_summary(&mut self, counts: &[(WorkspaceKey, Asked)], now: Time) {
+    pub fn set_summary(&mut self, counts: &[(WorkspaceKey, UsageCounts)], now: Time) {
         self.summary = Some(Told::new(counts, now));
     }
 
     /// Returns the counts of all routers but one, to send them to that one.
-    pub fn counts_except(&self, peer: &RouterId, now: Time) -> Vec<(WorkspaceKey, Asked)> {
+    pub fn counts_except(&self, peer: &RouterId, now: Time) -> Vec<(WorkspaceKey, UsageCounts)> {
         let theirs = self.peers.get(peer);
         let theirs = theirs.filter(|told| self.heard.is_valid(told.at, now));
         let mut all = self.told(now);
@@ -248,7 +248,7 @@
             all.entry(*key).or_default().take(*counts);
         }
         let all = all.into_iter();
-        all.filter(|(_, sum)| sum.asked > 0.0 || sum.given > 0.0)
+        all.filter(|(_, sum)| sum.requested > 0.0 || sum.served > 0.0)
             .collect()
     }
 
@@ -262,22 +262,22 @@
     }
 
     /// Returns the counts of the peers that were heard of late.
-    fn heard(&self, now: Time) -> impl Iterator<Item = &HashMap<WorkspaceKey, Asked>> {
+    fn heard(&self, now: Time) -> impl Iterator<Item = &HashMap<WorkspaceKey, UsageCounts>> {
         let heard = self.peers.values();
         let heard = heard.filter(move |told| self.heard.is_valid(told.at, now));
         heard.map(|told| &told.counts)
     }
 
     /// Returns the counts of the last summary, where it counts.
-    fn summed(&self, now: Time) -> Option<&HashMap<WorkspaceKey, Asked>> {
+    fn summed(&self, now: Time) -> Option<&HashMap<WorkspaceKey, UsageCounts>> {
         let summary = self.summary.as_ref();
         let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
         summary.map(|told| &told.counts)
     }
 
     /// Returns the counts of all other routers.
-    fn told(&self, now: Time) -> HashMap<WorkspaceKey, Asked> {
-        let mut all: HashMap<WorkspaceKey, Asked> = HashMap::new();
+    fn told(&self, now: Time) -> HashMap<WorkspaceKey, UsageCounts> {
+        let mut all: HashMap<WorkspaceKey, UsageCounts> = HashMap::new();
         for (key, counts) in self.heard(now).flatten() {
             all.entry(*key).or_default().add(*counts);
         }
@@ -289,15 +289,21 @@
     }
 
     /// Adds to what so many peers told of a workspace what is known of it here.
-    fn with_own(&self, key: WorkspaceKey, theirs: Asked, heard: usize, now: Time) -> Asked {
+    fn with_own(
+        &self,
+        key: WorkspaceKey,
+        theirs: UsageCounts,
+        heard: usize,
+        now: Time,
+    ) -> UsageCounts {
         let mut sum = self.own.sum(key, now);
         sum.add(theirs);
-        sum.lately += self.unheard(key, f64::from(theirs.lately), heard, now) as f32;
+        sum.recent += self.unheard(key, f64::from(theirs.recent), heard, now) as f32;
         sum
     }
 
-    fn sum(&self, workspace: WorkspaceKey, now: Time) -> Asked {
-        let mut theirs = Asked::default();
+    fn sum(&self, workspace: WorkspaceKey, now: Time) -> UsageCounts {
+        let mut theirs = UsageCounts::default();
         for counts in self.heard(now) {
             theirs.add(counts.get(&workspace).copied().unwrap_or_default());
         }
@@ -321,9 +327,9 @@
         }
         let levels = self.levels(now);
         let sum = self.sum(workspace, now);
-        let lately = f64::from(sum.lately);
+        let lately = f64::from(sum.recent);
         UsageStanding {
-            share: f64::from(sum.given) / levels.stated.max(1.0),
+            share: f64::from(sum.served) / levels.stated.max(1.0),
             max_min_ratio: match lately <= levels.actual {
                 true => 0.0,
                 false => roll * lately / levels.actual.max(1.0),
@@ -345,9 +351,9 @@
             let sum = all.entry(*key).or_default();
             *sum = self.with_own(*key, *sum, heard, now);
         }
-        let asks: Vec<f64> = all.values().map(|a| f64::from(a.asked)).collect();
-        let lately: Vec<f64> = all.values().map(|a| f64::from(a.lately)).collect();
-        let given: f64 = all.values().map(|a| f64::from(a.given)).sum();
+        let asks: Vec<f64> = all.values().map(|a| f64::from(a.requested)).collect();
+        let lately: Vec<f64> = all.values().map(|a| f64::from(a.recent)).collect();
+        let given: f64 = all.values().map(|a| f64::from(a.served)).sum();
         let stated = self.capacity * self.own.length().as_secs();
         let part = LATELY.as_secs() / self.own.length().as_secs();
         let levels = Levels {
--- a/crates/policy/src/quota/window.rs
+++ b/crates/policy/src/quota/window.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Asked,
+        UsageCounts,
         WorkspaceKey, //
     },
     crate::{
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Step {
     at: Time,
-    counts: Asked,
+    counts: UsageCounts,
     /// Requests that asked.
     requests: u32,
 }
@@ -57,15 +57,15 @@
     }
 
     /// Counts a request and the tokens that it asks for.
-    pub(super) fn asked(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
+    pub(super) fn record_requested(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
         let step = self.step(workspace, now);
-        step.counts.asked += tokens as f32;
+        step.counts.requested += tokens as f32;
         step.requests += 1;
     }
 
     /// Counts tokens that were given.
-    pub(super) fn given(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
-        self.step(workspace, now).counts.given += tokens as f32;
+    pub(super) fn record_served(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
+        self.step(workspace, now).counts.served += tokens as f32;
     }
 
     fn step(&mut self, workspace: WorkspaceKey, now: Time) -> &mut Step {
@@ -77,7 +77,7 @@
         if steps.back().is_none_or(|s| now.since(s.at) >= STEP) {
             steps.push_back(Step {
                 at: now,
-                counts: Asked::default(),
+                counts: UsageCounts::default(),
                 requests: 0,
             });
         }
@@ -91,12 +91,12 @@
     }
 
     /// Returns a workspace's counts over the window.
-    pub(super) fn sum(&self, workspace: WorkspaceKey, now: Time) -> Asked {
-        let mut sum = Asked::default();
+    pub(super) fn sum(&self, workspace: WorkspaceKey, now: Time) -> UsageCounts {
+        let mut sum = UsageCounts::default();
         for step in self.since(workspace, self.length, now) {
             sum.add(step.counts);
         }
-        sum.lately = self.lately(workspace, now).tokens as f32;
+        sum.recent = self.lately(workspace, now).tokens as f32;
         sum
     }
 
@@ -104,7 +104,7 @@
     pub(super) fn lately(&self, workspace: WorkspaceKey, now: Time) -> Lately {
         let recent = self.since(workspace, LATELY, now);
         recent.fold(Lately::default(), |sum, step| Lately {
-            tokens: sum.tokens + f64::from(step.counts.asked),
+            tokens: sum.tokens + f64::from(step.counts.requested),
             requests: sum.requests + f64::from(step.requests),
         })
     }
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -166,7 +166,7 @@
     /// Asks at a router; tells how long the first event takes, or none where it is refused.
     fn ask(&mut self, router: usize, workspace: WorkspaceKey, prompt: &Prompt) -> Option<Span> {
         let now = self.now;
-        self.quotas[router].asked(workspace, prompt.cost(), now);
+        self.quotas[router].record_requested(workspace, prompt.cost(), now);
         self.turn += 1;
         let roll = xxh3_64(&self.turn.to_le_bytes()) as f64 / u64::MAX as f64;
         let standing = self.quotas[router].standing(workspace, roll, now);
@@ -208,7 +208,7 @@
             unread: u64::from(choice.uncached),
             memory: u64::from(prompt.total + prompt.output),
         };
-        self.quotas[router].given(workspace, prompt.cost(), now);
+        self.quotas[router].record_served(workspace, prompt.cost(), now);
         self.boards[router].start(choice.key, load);
         let reading = Span((f64::from(choice.uncached) / SPEED * 1e3) as u64);
         let first = self.read[engine].max(now) + reading;
--- a/crates/policy/tests/placement/quota.rs
+++ b/crates/policy/tests/placement/quota.rs
@@ -4,10 +4,10 @@
     placement::Bound,
     quota::{
         level,
-        Asked,
         Outcomes,
         Quota,
         Tally,
+        UsageCounts,
         UsageStanding,
         WorkspaceKey, //
     },
@@ -40,16 +40,16 @@
 #[test]
 fn quota_unknown_capacity() {
     let mut quota = Quota::new(Span::secs(4));
-    quota.asked(LARGE, 1e9, at(0));
-    quota.given(LARGE, 1e9, at(0));
+    quota.record_requested(LARGE, 1e9, at(0));
+    quota.record_served(LARGE, 1e9, at(0));
     assert_eq!(quota.standing(LARGE, ROLL, at(0)).share, 0.0);
 }
 
 #[test]
 fn quota_enough_for_all() {
     let mut quota = quota();
-    quota.asked(LARGE, 3_000.0, at(0));
-    quota.given(LARGE, 3_000.0, at(0));
+    quota.record_requested(LARGE, 3_000.0, at(0));
+    quota.record_served(LARGE, 3_000.0, at(0));
     assert!(quota.standing(LARGE, ROLL, at(100)).share <= 1.0);
 }
 
@@ -57,12 +57,12 @@
 #[test]
 fn quota_flood_at_another_router() {
     let mut quota = quota();
-    quota.asked(LARGE, 10.0, at(0));
-    quota.asked(SMALL, 10.0, at(0));
-    let flood = Asked {
-        asked: 40_000.0,
-        given: 6_000.0,
-        lately: 0.0,
+    quota.record_requested(LARGE, 10.0, at(0));
+    quota.record_requested(SMALL, 10.0, at(0));
+    let flood = UsageCounts {
+        requested: 40_000.0,
+        served: 6_000.0,
+        recent: 0.0,
     };
     quota.set_peer(&"r2".parse().unwrap(), &[(LARGE, flood)], at(0));
     assert!(quota.standing(LARGE, ROLL, at(60)).share > 1.4);
@@ -72,8 +72,8 @@
 #[test]
 fn quota_window_slides() {
     let mut quota = quota();
-    quota.asked(LARGE, 8_000.0, at(0));
-    quota.given(LARGE, 8_000.0, at(0));
+    quota.record_requested(LARGE, 8_000.0, at(0));
+    quota.record_served(LARGE, 8_000.0, at(0));
     assert!(quota.standing(LARGE, 0.75, at(1_000)).share > 1.0);
     assert_eq!(quota.standing(LARGE, 0.75, at(4_100)).share, 0.0);
 }
@@ -81,13 +81,13 @@
 #[test]
 fn quota_silent_peer_is_forgotten() {
     let mut quota = quota();
-    let counts = Asked {
-        asked: 9_000.0,
-        given: 9_000.0,
-        lately: 0.0,
+    let counts = UsageCounts {
+        requested: 9_000.0,
+        served: 9_000.0,
+        recent: 0.0,
     };
     quota.set_peer(&"r2".parse().unwrap(), &[(LARGE, counts)], at(0));
-    quota.asked(LARGE, 1.0, at(2_100));
+    quota.record_requested(LARGE, 1.0, at(2_100));
     quota.forget(at(2_100));
     assert!(quota.standing(LARGE, ROLL, at(2_100)).share < 0.1);
 }
@@ -103,15 +103,15 @@
 #[test]
 fn quota_counts_of_a_large_fleet() {
     let mut quota = quota();
-    let flood = Asked {
-        asked: 40_000.0,
-        given: 6_000.0,
-        lately: 10_000.0,
+    let flood = UsageCounts {
+        requested: 40_000.0,
+        served: 6_000.0,
+        recent: 10_000.0,
     };
     quota.set_peer(&"r2".parse().unwrap(), &[(LARGE, flood)], at(0));
     quota.set_report_interval(Span::millis(4_500));
     quota.forget(at(4_400));
-    quota.asked(SMALL, 10.0, at(4_400));
+    quota.record_requested(SMALL, 10.0, at(4_400));
     assert!(quota.standing(LARGE, ROLL, at(4_400)).share > 1.4);
 }
 
@@ -119,10 +119,10 @@
 #[test]
 fn quota_even_part_of_what_was_given() {
     let mut quota = quota();
-    quota.asked(LARGE, 90_000.0, at(0));
-    quota.given(LARGE, 6_500.0, at(0));
-    quota.asked(SMALL, 9_000.0, at(0));
-    quota.given(SMALL, 2_500.0, at(0));
+    quota.record_requested(LARGE, 90_000.0, at(0));
+    quota.record_served(LARGE, 6_500.0, at(0));
+    quota.record_requested(SMALL, 9_000.0, at(0));
+    quota.record_served(SMALL, 2_500.0, at(0));
     let share = |quota: &mut Quota, who| quota.standing(who, ROLL, at(60)).share;
     assert!(share(&mut quota, LARGE) > 1.0 && share(&mut quota, SMALL) > 1.0);
     let large = within(&mut quota, LARGE, 90_000.0, at(60));
@@ -137,10 +137,10 @@
 fn quota_flood_that_begins() {
     let mut quota = quota();
     for second in 0..4 {
-        quota.asked(LARGE, 4_000.0, at(second * 1_000));
-        quota.given(LARGE, 1_000.0, at(second * 1_000));
+        quota.record_requested(LARGE, 4_000.0, at(second * 1_000));
+        quota.record_served(LARGE, 1_000.0, at(second * 1_000));
     }
-    quota.asked(SMALL, 4_000.0, at(3_000));
+    quota.record_requested(SMALL, 4_000.0, at(3_000));
     let (old, new) = (
         within(&mut quota, LARGE, 4_000.0, at(3_100)),
         within(&mut quota, SMALL, 4_000.0, at(3_100)),
