--- a/crates/policy/src/quota/level.rs
+++ b/crates/policy/src/quota/level.rs
@@ -6,13 +6,13 @@
 /// # Examples
 ///
 /// ```
-/// use policy::quota::level;
+/// use policy::quota::max_min_share;
 ///
-/// assert_eq!(level(&[10.0, 50.0, 90.0], 90.0), 40.0);
+/// assert_eq!(max_min_share(&[10.0, 50.0, 90.0], 90.0), 40.0);
 /// // There is enough for all.
-/// assert_eq!(level(&[10.0, 20.0], 90.0), 20.0);
+/// assert_eq!(max_min_share(&[10.0, 20.0], 90.0), 20.0);
 /// ```
-pub fn level(asks: &[f64], capacity: f64) -> f64 {
+pub fn max_min_share(asks: &[f64], capacity: f64) -> f64 {
     let mut asks: Vec<f64> = asks.iter().copied().filter(|a| *a > 0.0).collect();
     asks.sort_by(f64::total_cmp);
     let mut left = capacity;
--- a/crates/policy/src/quota/mod.rs
+++ b/crates/policy/src/quota/mod.rs
@@ -6,7 +6,7 @@
 mod window;
 
 pub use self::{
-    level::level,
+    level::max_min_share,
     table::{
         Quota,
         UsageCounts,
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        level,
+        max_min_share,
         window::{
             Lately,
             Window,
@@ -357,8 +357,8 @@
         let stated = self.capacity * self.own.length().as_secs();
         let part = LATELY.as_secs() / self.own.length().as_secs();
         let levels = Levels {
-            stated: level(&asks, stated),
-            actual: level(&lately, given.max(stated) * part),
+            stated: max_min_share(&asks, stated),
+            actual: max_min_share(&lately, given.max(stated) * part),
         };
         self.levels = Some((now, levels));
         levels
--- a/crates/policy/tests/placement/quota.rs
+++ b/crates/policy/tests/placement/quota.rs
@@ -3,7 +3,7 @@
 use policy::{
     placement::Bound,
     quota::{
-        level,
+        max_min_share,
         Outcomes,
         Quota,
         Tally,
@@ -32,9 +32,9 @@
 
 #[test]
 fn level_shares_the_rest() {
-    assert_eq!(level(&[], 10.0), 10.0);
-    assert_eq!(level(&[5.0, 5.0], 6.0), 3.0);
-    assert_eq!(level(&[1.0, 9.0, 20.0], 21.0), 11.0);
+    assert_eq!(max_min_share(&[], 10.0), 10.0);
+    assert_eq!(max_min_share(&[5.0, 5.0], 6.0), 3.0);
+    assert_eq!(max_min_share(&[1.0, 9.0, 20.0], 21.0), 11.0);
 }
 
 #[test]
