--- a/crates/gateway/src/fleet/hear.rs
+++ b/crates/gateway/src/fleet/hear.rs
@@ -168,7 +168,7 @@
         for addr in &hello.known {
             tables.fleet.list(*addr, now);
         }
-        let left = tables.roster.told(&hello.left, now);
+        let left = tables.roster.apply_departures(&hello.left, now);
         let held = tables.quarantine.hear(&hello.notes, now);
         drop(tables);
         let at = hello.intro.peers;
@@ -213,7 +213,7 @@
         let now = gw.now();
         let mut tables = gw.tables();
         tables.watch.set_peer(from, about.config_age(), now);
-        tables.roster.named_era(about.era, now);
+        tables.roster.observe_peer_era(about.era, now);
         let newer = tables.roster.peer_list(about.list_age(), about.list, now);
         drop(tables);
         gw.note_named_era(about.era, from);
--- a/crates/gateway/src/fleet/talk.rs
+++ b/crates/gateway/src/fleet/talk.rs
@@ -228,7 +228,7 @@
             intro: self.fleet.own().clone(),
             rate: self.fleet.rate() as f32,
             counts: Vec::new(),
-            left: self.roster.left(now),
+            left: self.roster.departures(now),
             notes: self.quarantine.holds(now),
             silent: self.fleet.silent(),
             asks: self.fleet.knows_few(),
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -47,7 +47,7 @@
         match read {
             Ok(list) => take(&gw, list),
             Err(_) => {
-                gw.tables().roster.failed();
+                gw.tables().roster.read_failed();
                 task::sleep(AGAIN).await;
             }
         }
@@ -68,8 +68,8 @@
     let now = gw.now();
     let gone = {
         let roster = &mut gw.tables().roster;
-        roster.read_at(list.revision, now);
-        roster.listed(entries(list.replicas), now)
+        roster.set_revision(list.revision, now);
+        roster.apply_list(entries(list.replicas), now)
     };
     note(gw, &gone, "store");
     // Until the peers hear of it, they draw who reads next: 85 routers, who speak every 0.4 s,
@@ -88,10 +88,10 @@
     let now = gw.now();
     let gone = {
         let roster = &mut gw.tables().roster;
-        if !roster.takes_list_of(era, now) {
+        if !roster.accepts_list_of(era, now) {
             return;
         }
-        roster.listed_by_peer(entries(list), age, now)
+        roster.apply_peer_list(entries(list), age, now)
     };
     note(gw, &gone, &from.to_string());
 }
--- a/crates/policy/src/roster/mod.rs
+++ b/crates/policy/src/roster/mod.rs
@@ -45,9 +45,9 @@
 /// use policy::{Roster, Time};
 ///
 /// let mut roster: Roster<&str> = Roster::default();
-/// roster.listed([("i-1".parse()?, "a", false)], Time(0));
+/// roster.apply_list([("i-1".parse()?, "a", false)], Time(0));
 /// assert_eq!(roster.ready().count(), 1);
-/// roster.listed([("i-1".parse()?, "a", true)], Time(1));
+/// roster.apply_list([("i-1".parse()?, "a", true)], Time(1));
 /// assert_eq!(roster.ready().count(), 0);
 /// # Ok::<(), policy::IdError>(())
 /// ```
@@ -80,13 +80,13 @@
 
 impl<T> Roster<T> {
     /// Notes that the list could not be read.
-    pub fn failed(&mut self) {
+    pub fn read_failed(&mut self) {
         self.outage.failed();
     }
 
     /// Takes a whole list. Returns those that no longer take work, also where another start
     /// under the same id does.
-    pub fn listed<L>(&mut self, list: impl IntoIterator<Item = L>, now: Time) -> Vec<ReplicaId>
+    pub fn apply_list<L>(&mut self, list: impl IntoIterator<Item = L>, now: Time) -> Vec<ReplicaId>
     where
         L: Into<Listed<T>>,
     {
@@ -99,7 +99,7 @@
     ///
     /// A store that came back from an older copy misses replicas that registered since, and has some
     /// again that left. All of them refresh their entries within seconds, or lapse.
-    pub fn read_at(&mut self, revision: Revision, now: Time) {
+    pub fn set_revision(&mut self, revision: Revision, now: Time) {
         let before = self.revision.replace(revision);
         let fell = before.is_some_and(|before| revision.fell_since(before));
         if self.eras.answered(revision.era) || fell {
@@ -108,7 +108,7 @@
     }
 
     /// Takes the era of the store that a peer names.
-    pub fn named_era(&mut self, era: Era, now: Time) {
+    pub fn observe_peer_era(&mut self, era: Era, now: Time) {
         if self.eras.named(era) {
             self.went_back(now);
         }
@@ -121,8 +121,8 @@
 
     /// Takes the era of a peer's list. Returns whether the list may be used: one of an older era is
     /// from before the store came back, however late it comes.
-    pub fn takes_list_of(&mut self, era: Era, now: Time) -> bool {
-        self.named_era(era, now);
+    pub fn accepts_list_of(&mut self, era: Era, now: Time) -> bool {
+        self.observe_peer_era(era, now);
         era >= self.eras.told()
     }
 
@@ -138,7 +138,7 @@
     /// work.
     ///
     /// A list that is no newer than this router's own changes nothing.
-    pub fn listed_by_peer<L>(
+    pub fn apply_peer_list<L>(
         &mut self,
         list: impl IntoIterator<Item = L>,
         age: Span,
@@ -307,7 +307,7 @@
     }
 
     /// Takes a peer's word that replicas no longer take work. Returns those that did so far.
-    pub fn told(&mut self, left: &[ReplicaKey], now: Time) -> Vec<ReplicaId> {
+    pub fn apply_departures(&mut self, left: &[ReplicaKey], now: Time) -> Vec<ReplicaId> {
         let mut gone = Vec::new();
         for key in left {
             if self.left.contains_key(key) {
@@ -325,7 +325,7 @@
     }
 
     /// Returns the replicas that left of late, to tell the peers.
-    pub fn left(&self, now: Time) -> Vec<ReplicaKey> {
+    pub fn departures(&self, now: Time) -> Vec<ReplicaKey> {
         let fresh = self.left.iter().filter(|(_, at)| now.since(**at) < TELL);
         fresh.map(|(key, _)| *key).collect()
     }
--- a/crates/policy/tests/placement/roster.rs
+++ b/crates/policy/tests/placement/roster.rs
@@ -22,7 +22,7 @@
 }
 
 fn list(roster: &mut Roster<()>, names: &[&str], ms: u64) -> Vec<ReplicaId> {
-    roster.listed(names.iter().map(|n| (id(n), (), false)), at(ms))
+    roster.apply_list(names.iter().map(|n| (id(n), (), false)), at(ms))
 }
 
 fn ready(roster: &Roster<()>) -> Vec<&str> {
@@ -43,8 +43,8 @@
     // every replica lives; taken at its word, nothing is served for two seconds.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
-    roster.failed();
-    roster.failed();
+    roster.read_failed();
+    roster.read_failed();
     assert!(list(&mut roster, &[], 5_400).is_empty());
     assert_eq!(ready(&roster), ["a", "b"]);
     list(&mut roster, &["a"], 6_000);
@@ -56,9 +56,9 @@
 fn roster_second_outage_starts_anew() {
     let mut roster = Roster::default();
     list(&mut roster, &["a"], 0);
-    roster.failed();
+    roster.read_failed();
     list(&mut roster, &[], 2_000);
-    roster.failed();
+    roster.read_failed();
     assert!(list(&mut roster, &[], 5_000).is_empty());
     assert_eq!(ready(&roster), ["a"]);
 }
@@ -69,12 +69,17 @@
     // meanwhile would get that router's requests until it ends.
     let mut near = Roster::default();
     list(&mut near, &["a", "b"], 0);
-    near.listed([(id("a"), (), true), (id("b"), (), false)], at(400));
+    near.apply_list([(id("a"), (), true), (id("b"), (), false)], at(400));
     let mut far = Roster::default();
     list(&mut far, &["a", "b"], 0);
-    assert_eq!(far.told(&near.left(at(500)), at(500)), [id("a")]);
+    assert_eq!(
+        far.apply_departures(&near.departures(at(500)), at(500)),
+        [id("a")]
+    );
     assert_eq!(ready(&far), ["b"]);
-    assert!(far.told(&near.left(at(600)), at(600)).is_empty());
+    assert!(far
+        .apply_departures(&near.departures(at(600)), at(600))
+        .is_empty());
 }
 
 #[test]
@@ -86,8 +91,11 @@
     list(&mut early, &["a", "b"], 0);
     let mut late = Roster::default();
     list(&mut late, &["a"], 0);
-    late.listed([(id("a"), (), false), (id("b"), (), true)], at(1_300));
-    assert_eq!(early.told(&late.left(at(1_400)), at(1_400)), [id("b")]);
+    late.apply_list([(id("a"), (), false), (id("b"), (), true)], at(1_300));
+    assert_eq!(
+        early.apply_departures(&late.departures(at(1_400)), at(1_400)),
+        [id("b")]
+    );
     assert_eq!(ready(&early), ["a"]);
 }
 
@@ -96,8 +104,8 @@
     let mut roster = Roster::default();
     list(&mut roster, &["a"], 0);
     list(&mut roster, &[], 100);
-    assert_eq!(roster.left(at(200)), [ReplicaKey::of(&id("a"))]);
-    assert!(roster.left(at(7_000)).is_empty());
+    assert_eq!(roster.departures(at(200)), [ReplicaKey::of(&id("a"))]);
+    assert!(roster.departures(at(7_000)).is_empty());
 }
 
 #[test]
@@ -106,7 +114,7 @@
     // list was made before, and brought the replica back until the next read, 3 s later.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
-    roster.told(&[ReplicaKey::of(&id("a"))], at(100));
+    roster.apply_departures(&[ReplicaKey::of(&id("a"))], at(100));
     list(&mut roster, &["a", "b"], 150);
     assert_eq!(ready(&roster), ["b"]);
     // A replica that lapsed and came back is in every later list.
@@ -197,7 +205,7 @@
     for ms in (500..8_000).step_by(50) {
         for (n, router) in all.iter_mut().enumerate() {
             if router.is_due(roll(n, ms), 300, at(ms)) {
-                router.failed();
+                router.read_failed();
                 calls += 1;
             }
         }
@@ -227,7 +235,7 @@
     let age = reader.age(at(1_300)).unwrap();
     assert!(other.peer_list(age, reader.digest(), at(1_300)));
     assert_eq!(
-        other.listed_by_peer(whole(&reader), age, at(1_310)),
+        other.apply_peer_list(whole(&reader), age, at(1_310)),
         [id("a")]
     );
     assert_eq!(ready(&other), ["b", "c"]);
@@ -246,7 +254,7 @@
     list(&mut roster, &["b"], 500);
     assert!(!roster.peer_list(Span::millis(600), peer.digest(), at(600)));
     assert!(roster
-        .listed_by_peer(whole(&peer), Span::millis(600), at(600))
+        .apply_peer_list(whole(&peer), Span::millis(600), at(600))
         .is_empty());
     assert_eq!(ready(&roster), ["b"]);
 }
@@ -283,12 +291,17 @@
     // Taken for the start that was draining it got no work for 2.4 s, though the list said
     // that it was ready.
     let mut roster = Roster::default();
-    roster.listed([start("a", 1, false)], at(0));
-    assert_eq!(roster.listed([start("a", 1, true)], at(500)), [id("a")]);
-    assert_eq!(roster.listed([start("a", 2, false)], at(1_000)), [id("a")]);
+    roster.apply_list([start("a", 1, false)], at(0));
+    assert_eq!(roster.apply_list([start("a", 1, true)], at(500)), [id("a")]);
+    assert_eq!(
+        roster.apply_list([start("a", 2, false)], at(1_000)),
+        [id("a")]
+    );
     assert_eq!(ready(&roster), ["a"]);
     // Nothing is said of the new start where nothing changes.
-    assert!(roster.listed([start("a", 2, false)], at(1_500)).is_empty());
+    assert!(roster
+        .apply_list([start("a", 2, false)], at(1_500))
+        .is_empty());
 }
 
 #[test]
@@ -296,10 +309,10 @@
     // A peer says that a replica left, and means the start before. The one that runs now
     // would lose its work.
     let mut roster = Roster::default();
-    roster.listed([start("a", 2, false)], at(0));
-    assert!(roster.told(&[key("a", 1)], at(100)).is_empty());
+    roster.apply_list([start("a", 2, false)], at(0));
+    assert!(roster.apply_departures(&[key("a", 1)], at(100)).is_empty());
     assert_eq!(ready(&roster), ["a"]);
-    assert_eq!(roster.told(&[key("a", 2)], at(200)), [id("a")]);
+    assert_eq!(roster.apply_departures(&[key("a", 2)], at(200)), [id("a")]);
     assert!(ready(&roster).is_empty());
 }
 
@@ -308,8 +321,8 @@
     // Two routers know a replica by different starts. Asked for no list, the one that is
     // behind would keep the loads and speeds of the former start.
     let (mut one, mut other) = (Roster::default(), Roster::default());
-    one.listed([start("a", 1, false)], at(0));
-    other.listed([start("a", 2, false)], at(0));
+    one.apply_list([start("a", 1, false)], at(0));
+    other.apply_list([start("a", 2, false)], at(0));
     assert_ne!(one.digest(), other.digest());
 }
 
@@ -320,8 +333,8 @@
     // finish, from a router which knew better.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
-    roster.listed([(id("a"), (), true), (id("b"), (), false)], at(500));
-    roster.failed();
+    roster.apply_list([(id("a"), (), true), (id("b"), (), false)], at(500));
+    roster.read_failed();
     list(&mut roster, &["a", "b"], 6_000);
     assert_eq!(ready(&roster), ["b"]);
     list(&mut roster, &["a", "b"], 12_000);
@@ -334,7 +347,7 @@
     // left. The replica lives, and the store still lists it.
     let mut roster = Roster::default();
     list(&mut roster, &["a"], 0);
-    roster.told(&[ReplicaKey::of(&id("a"))], at(100));
+    roster.apply_departures(&[ReplicaKey::of(&id("a"))], at(100));
     list(&mut roster, &["a"], 600);
     assert!(ready(&roster).is_empty());
     list(&mut roster, &["a"], 3_000);
@@ -349,7 +362,7 @@
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
     for ms in (500..4_500).step_by(500) {
-        roster.failed();
+        roster.read_failed();
         roster.peer_read(Span::millis(20), at(ms));
     }
     list(&mut roster, &["a", "b"], 4_600);
@@ -363,7 +376,7 @@
     // and this router, which was turned away like all others, must keep them too.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
-    roster.failed();
+    roster.read_failed();
     roster.peer_read(Span::millis(20), at(4_000));
     assert!(list(&mut roster, &["a"], 4_300).is_empty());
     assert_eq!(ready(&roster), ["a", "b"]);
@@ -379,7 +392,7 @@
     ms: u64,
 ) -> Vec<ReplicaId> {
     let era = Era(era);
-    roster.read_at(Revision { era, number }, at(ms));
+    roster.set_revision(Revision { era, number }, at(ms));
     list(roster, names, ms)
 }
 
@@ -392,7 +405,7 @@
     assert!(list_at(&mut roster, 2, 60, &["a"], 500).is_empty());
     assert!(list_at(&mut roster, 2, 61, &["a"], 1_000).is_empty());
     assert_eq!(ready(&roster), ["a", "b", "c"]);
-    assert!(roster.left(at(1_000)).is_empty());
+    assert!(roster.departures(at(1_000)).is_empty());
     // One that is still missing when all that live are back is gone.
     assert_eq!(list_at(&mut roster, 2, 70, &["a", "b"], 2_900), [id("c")]);
     assert_eq!(ready(&roster), ["a", "b"]);
@@ -414,11 +427,11 @@
 fn roster_peer_named_a_newer_era() {
     let mut roster = Roster::default();
     list_at(&mut roster, 1, 90, &["a", "b"], 0);
-    roster.named_era(Era(2), at(500));
+    roster.observe_peer_era(Era(2), at(500));
     let peers = [(id("a"), (), false)];
-    assert!(roster.takes_list_of(Era(2), at(600)));
+    assert!(roster.accepts_list_of(Era(2), at(600)));
     assert!(roster
-        .listed_by_peer(peers, Span::millis(50), at(600))
+        .apply_peer_list(peers, Span::millis(50), at(600))
         .is_empty());
     assert!(list_at(&mut roster, 2, 61, &["a"], 1_000).is_empty());
     assert_eq!(ready(&roster), ["a", "b"]);
@@ -430,8 +443,8 @@
 fn roster_peers_list_of_an_older_era() {
     let mut roster = Roster::default();
     list_at(&mut roster, 2, 60, &["a"], 0);
-    assert!(!roster.takes_list_of(Era(1), at(100)));
-    assert!(roster.takes_list_of(Era(2), at(100)));
+    assert!(!roster.accepts_list_of(Era(1), at(100)));
+    assert!(roster.accepts_list_of(Era(2), at(100)));
 }
 
 /// Guards against a peer that names an era far too high: a later return of the store would not be
@@ -441,7 +454,7 @@
     let mut roster = Roster::default();
     list_at(&mut roster, 1, 90, &["a", "b"], 0);
     for ms in (100..4_000).step_by(100) {
-        roster.named_era(Era(u64::MAX), at(ms));
+        roster.observe_peer_era(Era(u64::MAX), at(ms));
     }
     assert_eq!(list_at(&mut roster, 1, 95, &["a"], 4_000), [id("b")]);
     list_at(&mut roster, 1, 96, &["a", "c"], 4_500);
@@ -503,13 +516,13 @@
                 continue;
             };
             let (digest, era) = (all[speaker].digest(), all[speaker].era());
-            let (list, left) = (whole(&all[speaker]), all[speaker].left(now));
+            let (list, left) = (whole(&all[speaker]), all[speaker].departures(now));
             for other in (0..routers).filter(|n| *n != speaker) {
                 let router = &mut all[other];
-                router.named_era(era, now);
-                router.told(&left, now);
-                if router.peer_list(age, digest, now) && router.takes_list_of(era, now) {
-                    router.listed_by_peer(list.clone(), age, now);
+                router.observe_peer_era(era, now);
+                router.apply_departures(&left, now);
+                if router.peer_list(age, digest, now) && router.accepts_list_of(era, now) {
+                    router.apply_peer_list(list.clone(), age, now);
                 }
             }
         }
