--- a/crates/gateway/src/follow/register.rs
+++ b/crates/gateway/src/follow/register.rs
@@ -202,7 +202,7 @@
 
     /// Gives up a lease from before the store came back from an older copy.
     fn leave_older_lease(&mut self, eras: Eras) {
-        let mut era = eras.told();
+        let mut era = eras.confirmed();
         if eras.newest() > self.era {
             self.era = eras.newest();
             era = self.era;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -280,7 +280,7 @@
         let era = (self.store.era)();
         let mut eras = lock(&self.eras);
         let before = *eras;
-        if eras.answered(era) {
+        if eras.observe_answer(era) {
             log_return(era, before, "store");
         }
     }
@@ -289,7 +289,7 @@
     pub(crate) fn note_named_era(&self, era: Era, from: &RouterId) {
         let mut eras = lock(&self.eras);
         let before = *eras;
-        if eras.named(era) {
+        if eras.observe_peer(era) {
             log_return(era, before, from.as_str());
         }
     }
@@ -308,7 +308,7 @@
 }
 
 fn log_return(era: Era, before: Eras, from: &str) {
-    let before = before.told();
+    let before = before.confirmed();
     log::warn!("event=store outcome=went-back era={era} before={before} from={from}");
 }
 
--- a/crates/policy/src/eras.rs
+++ b/crates/policy/src/eras.rs
@@ -13,10 +13,10 @@
 /// use policy::{Era, Eras};
 ///
 /// let mut eras = Eras::default();
-/// assert!(!eras.answered(Era(1)));
-/// assert!(eras.named(Era(9)));
-/// assert!(eras.answered(Era(2)));
-/// assert_eq!((eras.told(), eras.newest()), (Era(2), Era(9)));
+/// assert!(!eras.observe_answer(Era(1)));
+/// assert!(eras.observe_peer(Era(9)));
+/// assert!(eras.observe_answer(Era(2)));
+/// assert_eq!((eras.confirmed(), eras.newest()), (Era(2), Era(9)));
 /// ```
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Eras {
@@ -29,7 +29,7 @@
 impl Eras {
     /// Takes the era of an answer of the store. Returns whether the store came back from an older copy,
     /// and no peer named that era before.
-    pub fn answered(&mut self, era: Era) -> bool {
+    pub fn observe_answer(&mut self, era: Era) -> bool {
         let rose = self.told.or(self.newest).is_some_and(|t| era > t);
         let news = rose && self.newest != Some(era);
         self.told = self.told.max(Some(era));
@@ -38,14 +38,14 @@
     }
 
     /// Takes the era that a peer names. Returns whether it is newer than any that was named before.
-    pub fn named(&mut self, era: Era) -> bool {
+    pub fn observe_peer(&mut self, era: Era) -> bool {
         let news = self.newest.is_some_and(|n| era > n);
         self.newest = self.newest.max(Some(era));
         news
     }
 
     /// Returns the newest era that the store named itself.
-    pub fn told(&self) -> Era {
+    pub fn confirmed(&self) -> Era {
         self.told.unwrap_or_default()
     }
 
--- a/crates/policy/src/roster/mod.rs
+++ b/crates/policy/src/roster/mod.rs
@@ -102,28 +102,28 @@
     pub fn set_revision(&mut self, revision: Revision, now: Time) {
         let before = self.revision.replace(revision);
         let fell = before.is_some_and(|before| revision.fell_since(before));
-        if self.eras.answered(revision.era) || fell {
+        if self.eras.observe_answer(revision.era) || fell {
             self.went_back(now);
         }
     }
 
     /// Takes the era of the store that a peer names.
     pub fn observe_peer_era(&mut self, era: Era, now: Time) {
-        if self.eras.named(era) {
+        if self.eras.observe_peer(era) {
             self.went_back(now);
         }
     }
 
     /// Returns the era of the store that this router's list is of, to tell the peers.
     pub fn era(&self) -> Era {
-        self.eras.told()
+        self.eras.confirmed()
     }
 
     /// Takes the era of a peer's list. Returns whether the list may be used: one of an older era is
     /// from before the store came back, however late it comes.
     pub fn accepts_list_of(&mut self, era: Era, now: Time) -> bool {
         self.observe_peer_era(era, now);
-        era >= self.eras.told()
+        era >= self.eras.confirmed()
     }
 
     fn went_back(&mut self, now: Time) {
