--- a/crates/gateway/src/fleet/beat.rs
+++ b/crates/gateway/src/fleet/beat.rs
@@ -7,7 +7,7 @@
             Load,
             ReplicaKey, //
         },
-        quarantine::Notes,
+        quarantine::QuarantineUpdate,
         quota::{
             UsageCounts,
             WorkspaceKey, //
@@ -117,7 +117,7 @@
     /// Replicas that left of late.
     pub(crate) left: Vec<ReplicaKey>,
     /// Requests under which replicas end.
-    pub(crate) notes: Notes,
+    pub(crate) notes: QuarantineUpdate,
     /// Short names of active routers that are silent.
     pub(crate) silent: Vec<u32>,
     /// It knows few others, and asks for the addresses of more.
--- a/crates/gateway/src/fleet/beat/tests.rs
+++ b/crates/gateway/src/fleet/beat/tests.rs
@@ -15,7 +15,7 @@
             Load,
             ReplicaKey, //
         },
-        quarantine::Notes,
+        quarantine::QuarantineUpdate,
         quota::{
             UsageCounts,
             WorkspaceKey, //
@@ -133,7 +133,7 @@
         rate: 1_234.5,
         counts: Vec::new(),
         left: Vec::new(),
-        notes: Notes::default(),
+        notes: QuarantineUpdate::default(),
         silent: Vec::new(),
         asks: false,
         known: Vec::new(),
--- a/crates/gateway/src/fleet/hear.rs
+++ b/crates/gateway/src/fleet/hear.rs
@@ -169,7 +169,7 @@
             tables.fleet.list(*addr, now);
         }
         let left = tables.roster.apply_departures(&hello.left, now);
-        let held = tables.quarantine.hear(&hello.notes, now);
+        let held = tables.quarantine.apply_update(&hello.notes, now);
         drop(tables);
         let at = hello.intro.peers;
         for digest in held {
--- a/crates/gateway/src/fleet/talk.rs
+++ b/crates/gateway/src/fleet/talk.rs
@@ -147,7 +147,7 @@
     let facts = tables.facts(gw, number, config);
     let mut words = Vec::new();
     // A request that ends replicas is sent to the next one within a tenth of a second or so.
-    let news = tables.quarantine.takes_news();
+    let news = tables.quarantine.take_unreported();
     if news || occasion.round % HELLO_EVERY == 1 {
         words.extend(tables.introductions(&facts, &due, now));
     }
@@ -197,7 +197,7 @@
         for (to, next) in [(near, due.near_next), (beside, due.beside_next)] {
             if !to.is_empty() {
                 let mut hello = self.hello(facts, next, now);
-                hello.notes = self.quarantine.notes(now);
+                hello.notes = self.quarantine.full_update(now);
                 hello.counts = counts.clone();
                 all.push((Word::Hello(Box::new(hello)), to));
             }
@@ -229,7 +229,7 @@
             rate: self.fleet.rate() as f32,
             counts: Vec::new(),
             left: self.roster.departures(now),
-            notes: self.quarantine.holds(now),
+            notes: self.quarantine.held_update(now),
             silent: self.fleet.silent(),
             asks: self.fleet.knows_few(),
             known: Vec::new(),
--- a/crates/gateway/src/follow/register.rs
+++ b/crates/gateway/src/follow/register.rs
@@ -13,7 +13,7 @@
         entry_state,
         quarantine::{
             Held,
-            Notes,
+            QuarantineUpdate,
             RequestDigest, //
         },
         EntrySeen,
@@ -190,7 +190,7 @@
             Some(entry) if entry.renewed.elapsed() >= LEASE => self.entry = None,
             _ => {}
         }
-        self.behind |= gw.tables().quarantine.takes_begun();
+        self.behind |= gw.tables().quarantine.take_new_holds();
         if let Some(entry) = self.entry.as_mut().filter(|_| self.behind) {
             if let Some(revision) = write(gw, entry.lease).await {
                 entry.revision = revision;
@@ -287,7 +287,7 @@
 
 /// Writes this router's entry. Returns its revision where it stands there.
 async fn write(gw: &Shared, lease: Lease) -> Option<Revision> {
-    let held = gw.tables().quarantine.holds(gw.now()).held;
+    let held = gw.tables().quarantine.held_update(gw.now()).held;
     let settings = &gw.settings;
     let entry = Entry::new(
         settings.name.clone(),
@@ -321,13 +321,13 @@
 
 fn take(gw: &Shared, entry: &Entry) {
     let now = gw.now();
-    let notes = Notes {
+    let notes = QuarantineUpdate {
         held: entry.held(unix_ms()),
-        ..Notes::default()
+        ..QuarantineUpdate::default()
     };
     let mut tables = gw.tables();
     tables.fleet.list(entry.peers, now);
-    let begun = tables.quarantine.hear(&notes, now);
+    let begun = tables.quarantine.apply_update(&notes, now);
     drop(tables);
     for digest in begun {
         log::warn!("event=quarantine outcome=begun digest={digest} from=store");
--- a/crates/gateway/src/follow/register/tests.rs
+++ b/crates/gateway/src/follow/register/tests.rs
@@ -8,8 +8,8 @@
     policy::{
         quarantine::{
             Held,
-            Notes,
             Quarantine,
+            QuarantineUpdate,
             RequestDigest, //
         },
         Span,
@@ -37,13 +37,13 @@
     // comes again as soon as they are back: without their entries nobody would know.
     let bytes = rmp_serde::to_vec_named(&entry(Span::secs(500))).unwrap();
     let read: Entry = rmp_serde::from_slice(&bytes).unwrap();
-    let notes = Notes {
+    let notes = QuarantineUpdate {
         held: read.held(WRITTEN + 12_000),
-        ..Notes::default()
+        ..QuarantineUpdate::default()
     };
     let mut started = Quarantine::default();
-    assert_eq!(started.hear(&notes, Time(0)), [DEADLY]);
-    assert_eq!(started.left(DEADLY, Time(0)), Some(Span::secs(488)));
+    assert_eq!(started.apply_update(&notes, Time(0)), [DEADLY]);
+    assert_eq!(started.remaining(DEADLY, Time(0)), Some(Span::secs(488)));
 }
 
 #[test]
--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -99,7 +99,7 @@
     ) -> Result<Place, Refused> {
         let now = self.now();
         let mut tables = self.tables();
-        if let Some(left) = tables.quarantine.left(req.digest, now) {
+        if let Some(left) = tables.quarantine.remaining(req.digest, now) {
             return Err(Refused {
                 why: Refusal::Held,
                 after: left.into(),
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -19,10 +19,10 @@
         Answered,
         Ended,
         Held,
-        Notes, //
+        QuarantineUpdate, //
     },
     table::{
         Quarantine,
-        HOLD, //
+        HOLD_DURATION, //
     },
 };
--- a/crates/policy/src/quarantine/notes.rs
+++ b/crates/policy/src/quarantine/notes.rs
@@ -43,7 +43,7 @@
 
 /// What a router tells the others.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Notes {
+pub struct QuarantineUpdate {
     /// What it saw of late.
     pub ended: Vec<Ended>,
     /// What was answered of late, of what was suspected.
--- a/crates/policy/src/quarantine/table.rs
+++ b/crates/policy/src/quarantine/table.rs
@@ -9,7 +9,7 @@
         Answered,
         Ended,
         Held,
-        Notes,
+        QuarantineUpdate,
         RequestDigest, //
     },
     crate::{
@@ -26,7 +26,7 @@
 /// How long a request is held back. After that it is let through once more, and one more replica
 /// ends if nothing has changed: with ten minutes that is the work of a replica for some seconds
 /// out of six hundred.
-pub const HOLD: Span = Span::secs(600);
+pub const HOLD_DURATION: Span = Span::secs(600);
 /// A request that was answered this recently is not what ends a replica. A question that many
 /// callers ask is at several replicas at any time, and at most of those that crash.
 const TRUSTED: Span = Span::secs(10);
@@ -53,10 +53,10 @@
 /// let digest = RequestDigest(7);
 /// for n in 0..3 {
 ///     let now = Time(0) + Span::secs(n);
-///     assert_eq!(quarantine.left(digest, now), None);
+///     assert_eq!(quarantine.remaining(digest, now), None);
 ///     quarantine.ended(digest, ReplicaKey(n as u32), now);
 /// }
-/// assert!(quarantine.left(digest, Time(0) + Span::secs(3)).is_some());
+/// assert!(quarantine.remaining(digest, Time(0) + Span::secs(3)).is_some());
 /// ```
 #[derive(Debug, Default)]
 pub struct Quarantine {
@@ -98,13 +98,13 @@
     }
 
     /// Returns for how much longer a request is to be held back, where it is.
-    pub fn left(&self, digest: RequestDigest, now: Time) -> Option<Span> {
+    pub fn remaining(&self, digest: RequestDigest, now: Time) -> Option<Span> {
         self.records.get(&digest)?.left(now)
     }
 
     /// Takes what another router tells. Returns which requests are held back from now on and were
     /// not before.
-    pub fn hear(&mut self, notes: &Notes, now: Time) -> Vec<RequestDigest> {
+    pub fn apply_update(&mut self, notes: &QuarantineUpdate, now: Time) -> Vec<RequestDigest> {
         let mut begun = Vec::new();
         for answered in &notes.answered {
             self.hear_answered(answered, now);
@@ -129,7 +129,7 @@
     }
 
     /// Returns what all routers are to hear: what is held back, that which began last first.
-    pub fn holds(&self, now: Time) -> Notes {
+    pub fn held_update(&self, now: Time) -> QuarantineUpdate {
         let held = self.records.iter().filter_map(|(digest, record)| {
             Some(Held {
                 digest: *digest,
@@ -139,16 +139,16 @@
         let mut held: Vec<Held> = held.collect();
         held.sort_by_key(|h| (std::cmp::Reverse(h.left), h.digest));
         held.truncate(MOST_TOLD);
-        Notes {
+        QuarantineUpdate {
             held,
-            ..Notes::default()
+            ..QuarantineUpdate::default()
         }
     }
 
     /// Returns what the routers that take callers are to hear: besides what is held back, what
     /// this router saw of late.
-    pub fn notes(&self, now: Time) -> Notes {
-        let mut notes = self.holds(now);
+    pub fn full_update(&self, now: Time) -> QuarantineUpdate {
+        let mut notes = self.held_update(now);
         for (digest, record) in &self.records {
             let fresh = |at: Time| now.since(at) < TOLD;
             let own = record.ends.iter().filter(|e| e.own && fresh(e.at));
@@ -171,7 +171,7 @@
     }
 
     /// Tells whether this router saw something that it has not told yet, once for each time.
-    pub fn takes_news(&mut self) -> bool {
+    pub fn take_unreported(&mut self) -> bool {
         std::mem::take(&mut self.news)
     }
 
@@ -180,7 +180,7 @@
     ///
     /// Those who saw one are the ones to write it down. Of two ends at the same time at two routers
     /// neither knows that it is the third until it hears of the other.
-    pub fn takes_begun(&mut self) -> bool {
+    pub fn take_new_holds(&mut self) -> bool {
         std::mem::take(&mut self.begun)
     }
 
@@ -215,7 +215,7 @@
         let proven = record.count() >= ENDS || record.until.is_some();
         let before = record.left(now).is_some();
         if proven {
-            record.until = record.until.max(Some(end.at + HOLD));
+            record.until = record.until.max(Some(end.at + HOLD_DURATION));
         }
         let begun = proven && !before;
         self.begun |= begun && record.seen_here();
@@ -238,7 +238,7 @@
         }
         let before = record.left(now);
         if held.left > before.unwrap_or_default() + ADDS {
-            record.until = Some(now + held.left.min(HOLD));
+            record.until = Some(now + held.left.min(HOLD_DURATION));
             record.changed = now;
         }
         before.is_none() && record.left(now).is_some()
--- a/crates/policy/tests/quarantine/fleet.rs
+++ b/crates/policy/tests/quarantine/fleet.rs
@@ -3,8 +3,8 @@
 use policy::{
     placement::ReplicaKey,
     quarantine::{
-        Notes,
         Quarantine,
+        QuarantineUpdate,
         RequestDigest, //
     },
     Span,
@@ -100,7 +100,7 @@
 struct Word {
     to: usize,
     at: Time,
-    notes: Notes,
+    notes: QuarantineUpdate,
 }
 
 /// Routers, replicas and words under way.
@@ -151,7 +151,10 @@
             self.crash(plan);
             self.speak();
         }
-        let held = self.routers.iter().flat_map(|r| r.holds(self.now).held);
+        let held = self
+            .routers
+            .iter()
+            .flat_map(|r| r.held_update(self.now).held);
         self.ends.under = self.deadly.len();
         self.ends.innocent = held.filter(|h| h.digest != DEADLY).count();
         self.ends
@@ -189,7 +192,7 @@
 
     /// Sends a request to some replica that is up, unless the router holds it back.
     fn send(&mut self, digest: RequestDigest, router: usize, tries: u32) {
-        if self.routers[router].left(digest, self.now).is_some() {
+        if self.routers[router].remaining(digest, self.now).is_some() {
             self.ends.refused += usize::from(digest != DEADLY);
             return;
         }
@@ -280,8 +283,8 @@
                 continue;
             }
             self.speaks[from] = self.now + WORDS;
-            let notes = self.routers[from].notes(self.now);
-            if notes == Notes::default() {
+            let notes = self.routers[from].full_update(self.now);
+            if notes == QuarantineUpdate::default() {
                 continue;
             }
             for to in 0..self.routers.len() {
@@ -302,7 +305,7 @@
         self.words = rest;
         let due: Vec<Word> = due;
         for word in due {
-            self.routers[word.to].hear(&word.notes, now);
+            self.routers[word.to].apply_update(&word.notes, now);
         }
     }
 }
--- a/crates/policy/tests/quarantine/main.rs
+++ b/crates/policy/tests/quarantine/main.rs
@@ -11,10 +11,10 @@
         placement::ReplicaKey,
         quarantine::{
             Held,
-            Notes,
             Quarantine,
+            QuarantineUpdate,
             RequestDigest,
-            HOLD, //
+            HOLD_DURATION, //
         },
         Span,
         Time, //
@@ -49,10 +49,10 @@
 #[test]
 fn quarantine_third_end() {
     let mut quarantine = after_ends(&[0, 400]);
-    assert_eq!(quarantine.left(DEADLY, at(500)), None);
+    assert_eq!(quarantine.remaining(DEADLY, at(500)), None);
     assert!(end(&mut quarantine, 9, at(800)));
-    assert_eq!(quarantine.left(DEADLY, at(800)), Some(HOLD));
-    assert_eq!(quarantine.left(OTHER, at(800)), None);
+    assert_eq!(quarantine.remaining(DEADLY, at(800)), Some(HOLD_DURATION));
+    assert_eq!(quarantine.remaining(OTHER, at(800)), None);
     // It is told once that it began.
     assert!(!end(&mut quarantine, 10, at(900)));
 }
@@ -61,7 +61,7 @@
 fn quarantine_same_replica_counts_once() {
     let mut quarantine = after_ends(&[0, 400]);
     assert!(!end(&mut quarantine, 1, at(800)));
-    assert_eq!(quarantine.left(DEADLY, at(800)), None);
+    assert_eq!(quarantine.remaining(DEADLY, at(800)), None);
 }
 
 #[test]
@@ -69,7 +69,7 @@
     // A rack takes four replicas at once, and with them four copies of a question that many
     // callers ask. Refused for that, it would have no answer for ten minutes.
     let quarantine = after_ends(&[0, 10, 30, 60]);
-    assert_eq!(quarantine.left(DEADLY, at(100)), None);
+    assert_eq!(quarantine.remaining(DEADLY, at(100)), None);
 }
 
 #[test]
@@ -101,8 +101,8 @@
     let mut first = Quarantine::default();
     first.answered(DEADLY, at(0));
     let mut second = after_ends(&[100, 500]);
-    first.hear(&second.notes(at(600)), at(605));
-    second.hear(&first.notes(at(606)), at(611));
+    first.apply_update(&second.full_update(at(600)), at(605));
+    second.apply_update(&first.full_update(at(606)), at(611));
     assert!(!end(&mut second, 9, at(900)));
 }
 
@@ -110,11 +110,11 @@
 fn quarantine_let_through_again() {
     // After the hold it is tried once; ending one more replica holds it back again at once, and
     // an answer clears it for good.
-    let later = Time(0) + HOLD + Span::secs(1);
+    let later = Time(0) + HOLD_DURATION + Span::secs(1);
     let mut deadly = after_ends(&[0, 400, 800]);
-    assert_eq!(deadly.left(DEADLY, later), None);
+    assert_eq!(deadly.remaining(DEADLY, later), None);
     assert!(end(&mut deadly, 9, later));
-    assert!(deadly.left(DEADLY, later).is_some());
+    assert!(deadly.remaining(DEADLY, later).is_some());
     let mut mended = after_ends(&[0, 400, 800]);
     mended.answered(DEADLY, later);
     assert!(!end(&mut mended, 9, later + Span::secs(1)));
@@ -127,17 +127,20 @@
         let now = at(400 * n as u64);
         assert!(!end(router, n as u32, now));
     }
-    let notes: Vec<Notes> = routers.iter().map(|r| r.notes(at(900))).collect();
+    let notes: Vec<QuarantineUpdate> = routers.iter().map(|r| r.full_update(at(900))).collect();
     let [first, ..] = &mut routers;
-    assert!(first.hear(&notes[1], at(905)).is_empty());
+    assert!(first.apply_update(&notes[1], at(905)).is_empty());
     // A word may come twice.
-    assert!(first.hear(&notes[1], at(906)).is_empty());
-    assert_eq!(first.hear(&notes[2], at(907)), [DEADLY]);
+    assert!(first.apply_update(&notes[1], at(906)).is_empty());
+    assert_eq!(first.apply_update(&notes[2], at(907)), [DEADLY]);
     // A router that starts later hears of it from any other.
     let mut late = Quarantine::default();
-    assert_eq!(late.hear(&first.holds(at(60_000)), at(5)), [DEADLY]);
-    let left = late.left(DEADLY, at(5)).unwrap();
-    assert!(left < HOLD && left > Span::secs(530), "{left:?}");
+    assert_eq!(
+        late.apply_update(&first.held_update(at(60_000)), at(5)),
+        [DEADLY]
+    );
+    let left = late.remaining(DEADLY, at(5)).unwrap();
+    assert!(left < HOLD_DURATION && left > Span::secs(530), "{left:?}");
 }
 
 #[test]
@@ -146,29 +149,29 @@
     // Whoever saw one writes it down, or nobody would, and a kill of all routers forgets it.
     let mut first = after_ends(&[0]);
     let mut second = Quarantine::default();
-    second.hear(&first.notes(at(10)), at(15));
+    second.apply_update(&first.full_update(at(10)), at(15));
     assert!(!end(&mut first, 8, at(400)));
     assert!(!end(&mut second, 9, at(450)));
-    let [from_first, from_second] = [&first, &second].map(|r| r.notes(at(460)));
-    assert_eq!(first.hear(&from_second, at(465)), [DEADLY]);
-    assert_eq!(second.hear(&from_first, at(465)), [DEADLY]);
-    assert!(first.takes_begun() && second.takes_begun());
-    assert!(!first.takes_begun());
+    let [from_first, from_second] = [&first, &second].map(|r| r.full_update(at(460)));
+    assert_eq!(first.apply_update(&from_second, at(465)), [DEADLY]);
+    assert_eq!(second.apply_update(&from_first, at(465)), [DEADLY]);
+    assert!(first.take_new_holds() && second.take_new_holds());
+    assert!(!first.take_new_holds());
     let mut third = Quarantine::default();
-    third.hear(&first.holds(at(470)), at(475));
-    assert!(!third.takes_begun());
+    third.apply_update(&first.held_update(at(470)), at(475));
+    assert!(!third.take_new_holds());
 }
 
 #[test]
 fn quarantine_answer_elsewhere() {
     let mut first = after_ends(&[0, 400]);
     let mut second = Quarantine::default();
-    second.hear(&first.notes(at(410)), at(415));
+    second.apply_update(&first.full_update(at(410)), at(415));
     second.answered(DEADLY, at(500));
-    first.hear(&second.notes(at(510)), at(515));
+    first.apply_update(&second.full_update(at(510)), at(515));
     assert!(!end(&mut first, 9, at(800)));
-    assert!(first.takes_news());
-    assert!(!first.takes_news());
+    assert!(first.take_unreported());
+    assert!(!first.take_unreported());
 }
 
 #[test]
@@ -176,12 +179,12 @@
     // Two routers tell each other for an hour how much longer they hold a request back.
     let mut first = after_ends(&[0, 400, 800]);
     let mut second = Quarantine::default();
-    second.hear(&first.holds(at(800)), at(808));
+    second.apply_update(&first.held_update(at(800)), at(808));
     for ms in (1_000..3_600_000).step_by(300) {
-        second.hear(&first.holds(at(ms)), at(ms + 8));
-        first.hear(&second.holds(at(ms + 10)), at(ms + 18));
-        if first.left(DEADLY, at(ms)).is_none() {
-            let over = at(ms).since(at(800) + HOLD);
+        second.apply_update(&first.held_update(at(ms)), at(ms + 8));
+        first.apply_update(&second.held_update(at(ms + 10)), at(ms + 18));
+        if first.remaining(DEADLY, at(ms)).is_none() {
+            let over = at(ms).since(at(800) + HOLD_DURATION);
             assert!(over < Span::secs(2), "{over:?}");
             return;
         }
@@ -192,15 +195,15 @@
 #[test]
 fn quarantine_peers_ask_for_too_long() {
     let mut quarantine = Quarantine::default();
-    let notes = Notes {
+    let notes = QuarantineUpdate {
         held: vec![Held {
             digest: DEADLY,
             left: Span::secs(1_000_000),
         }],
-        ..Notes::default()
+        ..QuarantineUpdate::default()
     };
-    quarantine.hear(&notes, at(0));
-    assert_eq!(quarantine.left(DEADLY, at(0)), Some(HOLD));
+    quarantine.apply_update(&notes, at(0));
+    assert_eq!(quarantine.remaining(DEADLY, at(0)), Some(HOLD_DURATION));
 }
 
 #[test]
@@ -213,8 +216,8 @@
         let digest = RequestDigest(1_000_000 + n);
         quarantine.ended(digest, ReplicaKey(n as u32), now);
     }
-    assert!(quarantine.left(DEADLY, at(25_000)).is_some());
-    assert!(quarantine.notes(at(21_000)).ended.len() <= 32);
+    assert!(quarantine.remaining(DEADLY, at(25_000)).is_some());
+    assert!(quarantine.full_update(at(21_000)).ended.len() <= 32);
     let dump = format!("{quarantine:?}");
     assert!(dump.matches("changed").count() <= 4_096);
 }
