--- a/crates/gateway/src/serve/course.rs
+++ b/crates/gateway/src/serve/course.rs
@@ -13,7 +13,7 @@
     policy::{
         retry::{
             Budget,
-            Spend, //
+            BudgetLimits, //
         },
         AnswerState,
         ReplicaId,
@@ -121,7 +121,7 @@
     /// Takes one retry from the budget. Returns whether there was one.
     pub(crate) fn take_retry(&self, gw: &Shared, req: &Request) -> bool {
         let claim = self.claim();
-        let taken = budget(gw, req, |b, now| b.take(claim, now));
+        let taken = budget(gw, req, |b, now| b.try_spend(claim, now));
         if taken {
             metrics::counter!("chervilwind_retries").increment(1);
         }
@@ -172,7 +172,7 @@
         if !has_time(req.until) {
             return Err(NoRetry::Time);
         }
-        if !budget(gw, req, |b, now| b.take(AnswerState::NotStarted, now)) {
+        if !budget(gw, req, |b, now| b.try_spend(AnswerState::NotStarted, now)) {
             return Err(NoRetry::Budget);
         }
         Ok(())
@@ -229,7 +229,7 @@
 /// Counts a request that this router takes, also for the retry budget of its service.
 pub(crate) fn count_first(gw: &Shared, req: &Request) {
     gw.tables().fleet.count_request();
-    budget(gw, req, |b, now| b.first(now));
+    budget(gw, req, |b, now| b.record_first_attempt(now));
 }
 
 /// Returns how many retries of answers that have begun the budget of a request's service has left
@@ -250,8 +250,8 @@
     let budget = tables
         .budgets
         .entry(req.service.clone())
-        .or_insert_with(|| Budget::new(Spend::default()));
-    budget.set(Spend {
+        .or_insert_with(|| Budget::new(BudgetLimits::default()));
+    budget.set_limits(BudgetLimits {
         fraction: bounds.retry_ratio * RETRY_PART,
         floor: bounds.retry_slack * RETRY_PART / bounds.retry_window_s / routers,
         reserve: RESERVE,
--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -16,7 +16,7 @@
 
 /// How much may be spent on retries.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Spend {
+pub struct BudgetLimits {
     /// Retries for each first try.
     pub fraction: f64,
     /// Retries in a second that are allowed besides, so that a quiet router can retry.
@@ -26,9 +26,9 @@
     pub reserve: f64,
 }
 
-impl Default for Spend {
-    fn default() -> Spend {
-        Spend {
+impl Default for BudgetLimits {
+    fn default() -> BudgetLimits {
+        BudgetLimits {
             fraction: 0.1,
             floor: 0.5,
             reserve: 0.25,
@@ -44,21 +44,21 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{retry::{Budget, Spend}, AnswerState, Time};
+/// use policy::{retry::{Budget, BudgetLimits}, AnswerState, Time};
 ///
-/// let mut budget = Budget::new(Spend { fraction: 0.1, floor: 0.0, reserve: 0.5 });
+/// let mut budget = Budget::new(BudgetLimits { fraction: 0.1, floor: 0.0, reserve: 0.5 });
 /// for _ in 0..20 {
-///     budget.first(Time(0));
+///     budget.record_first_attempt(Time(0));
 /// }
-/// assert!(budget.take(AnswerState::NotStarted, Time(1)));
-/// assert!(budget.take(AnswerState::NotStarted, Time(2)));
-/// assert!(!budget.take(AnswerState::NotStarted, Time(3)));
-/// assert!(budget.take(AnswerState::Started, Time(4)));
-/// assert!(!budget.take(AnswerState::Started, Time(5)));
+/// assert!(budget.try_spend(AnswerState::NotStarted, Time(1)));
+/// assert!(budget.try_spend(AnswerState::NotStarted, Time(2)));
+/// assert!(!budget.try_spend(AnswerState::NotStarted, Time(3)));
+/// assert!(budget.try_spend(AnswerState::Started, Time(4)));
+/// assert!(!budget.try_spend(AnswerState::Started, Time(5)));
 /// ```
 #[derive(Debug)]
 pub struct Budget {
-    spend: Spend,
+    spend: BudgetLimits,
     steps: VecDeque<Step>,
 }
 
@@ -71,7 +71,7 @@
 
 impl Budget {
     /// Makes a budget of which nothing is spent.
-    pub fn new(spend: Spend) -> Budget {
+    pub fn new(spend: BudgetLimits) -> Budget {
         Budget {
             spend,
             steps: VecDeque::new(),
@@ -79,17 +79,17 @@
     }
 
     /// Changes how much may be spent from now on.
-    pub fn set(&mut self, spend: Spend) {
+    pub fn set_limits(&mut self, spend: BudgetLimits) {
         self.spend = spend;
     }
 
     /// Counts a first try.
-    pub fn first(&mut self, now: Time) {
+    pub fn record_first_attempt(&mut self, now: Time) {
         self.step(now).firsts += 1;
     }
 
     /// Takes one retry from the budget, if there is one left.
-    pub fn take(&mut self, claim: AnswerState, now: Time) -> bool {
+    pub fn try_spend(&mut self, claim: AnswerState, now: Time) -> bool {
         let left = self.left(claim, now) > 0;
         if left {
             self.step(now).retries += 1;
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -4,5 +4,5 @@
 
 pub use self::budget::{
     Budget,
-    Spend, //
+    BudgetLimits, //
 };
--- a/src/router/running.rs
+++ b/src/router/running.rs
@@ -129,7 +129,8 @@
     /// Runs the request and returns its answer, or the head of it.
     pub(crate) async fn run(mut self, gone: Gone) -> Response {
         let service = &self.work.job.service;
-        self.router.budget(service, |b, now| b.first(now));
+        self.router
+            .budget(service, |b, now| b.record_first_attempt(now));
         loop {
             let verdict = or(async { self.verdicts.recv().await.ok() }, async {
                 gone.wait().await;
@@ -272,7 +273,7 @@
         again
             && self
                 .router
-                .budget(service, |b, now| b.take(AnswerState::NotStarted, now))
+                .budget(service, |b, now| b.try_spend(AnswerState::NotStarted, now))
     }
 
     fn answer(&mut self, held: Held, end: End) -> Response {
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -28,7 +28,7 @@
         members::Members,
         retry::{
             Budget,
-            Spend, //
+            BudgetLimits, //
         },
         tickets::{
             Holder,
@@ -141,7 +141,7 @@
         let mut budgets = lock(&self.budgets);
         let budget = budgets
             .entry(service.clone())
-            .or_insert_with(|| Budget::new(Spend::default()));
+            .or_insert_with(|| Budget::new(BudgetLimits::default()));
         step(budget, now)
     }
 
