--- a/crates/gateway/src/fleet/beat.rs
+++ b/crates/gateway/src/fleet/beat.rs
@@ -2,7 +2,7 @@
 
 use {
     policy::{
-        actives::Intro,
+        actives::RouterInfo,
         placement::{
             Load,
             ReplicaKey, //
@@ -109,7 +109,7 @@
 pub(crate) struct Hello {
     pub(crate) about: About,
     pub(crate) name: RouterId,
-    pub(crate) intro: Intro,
+    pub(crate) intro: RouterInfo,
     /// Requests a second that it takes.
     pub(crate) rate: f32,
     /// What workspaces asked of it over the window, and were given; to active routers.
--- a/crates/gateway/src/fleet/beat/tests.rs
+++ b/crates/gateway/src/fleet/beat/tests.rs
@@ -10,7 +10,7 @@
         Word, //
     },
     policy::{
-        actives::Intro,
+        actives::RouterInfo,
         placement::{
             Load,
             ReplicaKey, //
@@ -118,7 +118,7 @@
 fn hello_stays_small() {
     // An active router of 370 tells 100 others a second that it is there, which is to leave most of
     // 21 KB/s for what it tells the other active ones.
-    let intro = Intro {
+    let intro = RouterInfo {
         incarnation: Incarnation(u64::MAX),
         peers: "10.250.250.250:7400".parse().unwrap(),
         callers: "10.250.250.250:8783".parse().unwrap(),
--- a/crates/gateway/src/fleet/talk.rs
+++ b/crates/gateway/src/fleet/talk.rs
@@ -20,7 +20,7 @@
     futures_lite::future::or,
     policy::{
         actives::{
-            short,
+            router_key,
             Actives,
             Due,
             HELLO_EVERY, //
@@ -175,7 +175,7 @@
     pub(super) fn facts(&self, gw: &Shared, number: u32, config: u64) -> Facts {
         let now = gw.now();
         Facts {
-            from: short(&gw.settings.name, gw.incarnation),
+            from: router_key(&gw.settings.name, gw.incarnation),
             number,
             list_age: self.roster.age(now),
             list: self.roster.digest(),
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -19,7 +19,7 @@
     policy::{
         actives::{
             Actives,
-            Intro, //
+            RouterInfo, //
         },
         placement::{
             Board,
@@ -314,7 +314,7 @@
 
 /// Makes the table of the other routers, of whom none is known yet.
 fn own_fleet(settings: &Settings, incarnation: Incarnation) -> Actives {
-    let intro = Intro {
+    let intro = RouterInfo {
         incarnation,
         peers: settings.listen.peers,
         callers: settings.listen.callers,
--- a/crates/policy/src/actives/mod.rs
+++ b/crates/policy/src/actives/mod.rs
@@ -27,10 +27,10 @@
         HELLO_EVERY, //
     },
     peer::{
-        short,
+        router_key,
         Heard,
-        Intro,
         Peer, //
+        RouterInfo,
     },
     table::{
         Actives,
--- a/crates/policy/src/actives/peer.rs
+++ b/crates/policy/src/actives/peer.rs
@@ -30,7 +30,7 @@
 
 /// Who a router is, as it tells the others.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Intro {
+pub struct RouterInfo {
     /// This start of it.
     pub incarnation: Incarnation,
     /// Where it hears the others.
@@ -46,7 +46,7 @@
 }
 
 /// Returns the short name of a router's start, 4 bytes in place of about 25.
-pub fn short(name: &RouterId, incarnation: Incarnation) -> u32 {
+pub fn router_key(name: &RouterId, incarnation: Incarnation) -> u32 {
     (xxh3_64(name.as_str().as_bytes()) ^ incarnation.0) as u32
 }
 
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone)]
 pub struct Peer {
     /// Who it is.
-    pub intro: Intro,
+    pub intro: RouterInfo,
     /// Requests a second that it takes.
     pub(super) rate: f64,
     /// When it last told that.
--- a/crates/policy/src/actives/set.rs
+++ b/crates/policy/src/actives/set.rs
@@ -8,9 +8,9 @@
         },
         due::is_recent,
         peer::{
-            short,
-            Intro,
+            router_key,
             Peer,
+            RouterInfo,
             Silence,
             SILENT, //
         },
@@ -85,7 +85,7 @@
         self.peers.retain(|name, p| {
             let keep = now.since(p.heard) < FORGET.max(p.next * 4.0);
             if !keep {
-                shorts.remove(&short(name, p.intro.incarnation));
+                shorts.remove(&router_key(name, p.intro.incarnation));
             }
             keep
         });
@@ -94,7 +94,7 @@
 
     /// Returns those that can be active.
     fn members(&self, now: Time) -> Vec<Member> {
-        let member = |name: &RouterId, intro: &Intro| Member {
+        let member = |name: &RouterId, intro: &RouterInfo| Member {
             name: name.clone(),
             zone: intro.zone.clone(),
             processor: f64::from(intro.processor),
--- a/crates/policy/src/actives/table.rs
+++ b/crates/policy/src/actives/table.rs
@@ -4,10 +4,10 @@
     super::{
         contacts::Contacts,
         peer::{
-            short,
+            router_key,
             Heard,
-            Intro,
             Peer,
+            RouterInfo,
             Silence, //
         },
         rate::Rate, //
@@ -31,9 +31,9 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{actives::{Actives, Intro}, Incarnation, Span, Time};
+/// use policy::{actives::{Actives, RouterInfo}, Incarnation, Span, Time};
 ///
-/// let intro = |port| Intro {
+/// let intro = |port| RouterInfo {
 ///     incarnation: Incarnation(1),
 ///     peers: ([127, 0, 0, 1], port).into(),
 ///     callers: ([127, 0, 0, 1], port + 1).into(),
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Actives {
     pub(super) name: RouterId,
-    pub(super) own: Intro,
+    pub(super) own: RouterInfo,
     /// Least number of active routers, where there are as many.
     pub(super) least: usize,
     /// Time between two words of active routers, where these are few.
@@ -88,7 +88,7 @@
 
 impl Actives {
     /// Makes the table of a router that knows nobody yet.
-    pub fn new(name: RouterId, own: Intro, least: usize, beat: Span) -> Actives {
+    pub fn new(name: RouterId, own: RouterInfo, least: usize, beat: Span) -> Actives {
         Actives {
             name,
             contacts: Contacts::new(own.peers),
@@ -112,7 +112,7 @@
     }
 
     /// Returns what this router tells of itself.
-    pub fn own(&self) -> &Intro {
+    pub fn own(&self) -> &RouterInfo {
         &self.own
     }
 
@@ -146,7 +146,7 @@
         &mut self,
         name: &RouterId,
         number: u32,
-        intro: Intro,
+        intro: RouterInfo,
         next: Span,
         rate: f64,
         now: Time,
@@ -159,7 +159,7 @@
         }
         let first = same.is_none();
         let changed = same.is_none_or(|p| p.silent.is_some() || p.intro.ready != intro.ready);
-        let before = known.map(|p| short(name, p.intro.incarnation));
+        let before = known.map(|p| router_key(name, p.intro.incarnation));
         let peer = Peer {
             rate,
             introduced: now,
@@ -176,7 +176,7 @@
         if let Some(before) = before {
             self.shorts.remove(&before);
         }
-        let key = short(name, peer.intro.incarnation);
+        let key = router_key(name, peer.intro.incarnation);
         self.shorts.insert(key, name.clone());
         self.contacts.list(peer.intro.peers, now);
         self.peers.insert(name.clone(), peer);
@@ -243,7 +243,7 @@
         let seen = |p: &Peer| p.silent == Some(Silence::Seen);
         let silent = self.peers.iter().filter(|(_, p)| seen(p));
         silent
-            .map(|(name, p)| short(name, p.intro.incarnation))
+            .map(|(name, p)| router_key(name, p.intro.incarnation))
             .collect()
     }
 }
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -3,10 +3,10 @@
 use {
     policy::{
         actives::{
-            short,
+            router_key,
             Actives,
             Heard,
-            Intro,
+            RouterInfo,
             Said,
             HELLO_EVERY, //
         },
@@ -116,8 +116,8 @@
 }
 
 /// Two in five zones' first routers are large, as a few are on the users' instances.
-fn intro(i: usize, incarnation: u64) -> Intro {
-    Intro {
+fn intro(i: usize, incarnation: u64) -> RouterInfo {
+    RouterInfo {
         incarnation: Incarnation(incarnation),
         peers: address(i),
         callers: address(i),
@@ -358,7 +358,7 @@
                     said,
                     running,
                 } => {
-                    let key = short(&name(from), incarnation);
+                    let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
                     let heard = router.fleet.word(key, number, next, said, self.now);
                     if heard.is_some() {
@@ -372,7 +372,7 @@
                     running,
                     sharers,
                 } => {
-                    let key = short(&name(from), incarnation);
+                    let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
                     let said = Said::default();
                     let heard = router.fleet.word(key, number, next, said, self.now);
@@ -395,7 +395,7 @@
         known: &[SocketAddr],
     ) {
         let now = self.now;
-        let intro = Intro {
+        let intro = RouterInfo {
             incarnation,
             ..self.routers[from].fleet.own().clone()
         };
