--- a/crates/gateway/src/fleet/hear.rs
+++ b/crates/gateway/src/fleet/hear.rs
@@ -23,7 +23,7 @@
     },
     policy::{
         actives::{
-            Heard,
+            HelloKind,
             Said, //
         },
         RouterId, //
@@ -97,7 +97,7 @@
         };
         match Word::decode(&buf[..n]) {
             Ok(Word::Hello(hello)) if hello.name != listener.gw.settings.name => {
-                if listener.hello(&hello) == Heard::First && hello.asks {
+                if listener.hello(&hello) == HelloKind::First && hello.asks {
                     listener.answer(hello.intro.peers).await;
                 }
             }
@@ -149,7 +149,7 @@
         self.about(about, &from, at);
     }
 
-    fn hello(&self, hello: &Hello) -> Heard {
+    fn hello(&self, hello: &Hello) -> HelloKind {
         let now = self.gw.now();
         let about = &hello.about;
         let mut tables = self.gw.tables();
@@ -158,7 +158,7 @@
         let heard = tables
             .fleet
             .hello(&hello.name, about.number, intro, about.next(), rate, now);
-        if heard == Heard::Old {
+        if heard == HelloKind::Stale {
             return heard;
         }
         if !hello.counts.is_empty() {
@@ -185,7 +185,7 @@
             );
         }
         self.about(about, &hello.name, at);
-        if heard == Heard::First {
+        if heard == HelloKind::First {
             log::info!("event=peer outcome=heard peer={} at={at}", hello.name);
         }
         heard
--- a/crates/policy/src/actives/mod.rs
+++ b/crates/policy/src/actives/mod.rs
@@ -28,7 +28,7 @@
     },
     peer::{
         router_key,
-        Heard,
+        HelloKind,
         Peer, //
         RouterInfo,
     },
--- a/crates/policy/src/actives/peer.rs
+++ b/crates/policy/src/actives/peer.rs
@@ -52,13 +52,13 @@
 
 /// What a word of another router was.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Heard {
+pub enum HelloKind {
     /// Older than what is known.
-    Old,
+    Stale,
     /// The first of this start of it.
     First,
     /// A later one.
-    Again,
+    Later,
 }
 
 /// Another router, as it was last heard.
--- a/crates/policy/src/actives/table.rs
+++ b/crates/policy/src/actives/table.rs
@@ -5,7 +5,7 @@
         contacts::Contacts,
         peer::{
             router_key,
-            Heard,
+            HelloKind,
             Peer,
             RouterInfo,
             Silence, //
@@ -150,12 +150,12 @@
         next: Span,
         rate: f64,
         now: Time,
-    ) -> Heard {
+    ) -> HelloKind {
         let known = self.peers.get(name);
         let same = known.filter(|p| p.intro.incarnation == intro.incarnation);
         // Datagrams overtake each other. An old word would bring back what has changed.
         if same.is_some_and(|p| number <= p.hello) {
-            return Heard::Old;
+            return HelloKind::Stale;
         }
         let first = same.is_none();
         let changed = same.is_none_or(|p| p.silent.is_some() || p.intro.ready != intro.ready);
@@ -184,8 +184,8 @@
             self.refreshed = None;
         }
         match first {
-            true => Heard::First,
-            false => Heard::Again,
+            true => HelloKind::First,
+            false => HelloKind::Later,
         }
     }
 
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -5,7 +5,7 @@
         actives::{
             router_key,
             Actives,
-            Heard,
+            HelloKind,
             RouterInfo,
             Said,
             HELLO_EVERY, //
@@ -408,14 +408,14 @@
         };
         let fleet = &mut self.routers[to].fleet;
         let heard = fleet.hello(&name(from), number, intro, next, rate, now);
-        if heard == Heard::Old {
+        if heard == HelloKind::Stale {
             return;
         }
         fleet.told_silent(&silent, now);
         for addr in known {
             fleet.list(*addr, now);
         }
-        if heard == Heard::First && asks {
+        if heard == HelloKind::First && asks {
             self.answer(to, from);
         }
     }
