--- a/crates/gateway/src/fleet/hear.rs
+++ b/crates/gateway/src/fleet/hear.rs
@@ -24,7 +24,7 @@
     policy::{
         actives::{
             HelloKind,
-            Said, //
+            LoadFlags, //
         },
         RouterId, //
     },
@@ -116,7 +116,7 @@
         let mut tables = self.gw.tables();
         let next = about.next();
         let told = loads.loads();
-        let said = Said {
+        let said = LoadFlags {
             busy: told.iter().map(|(_, load)| load.running).sum::<u32>() >= BUSY,
             to_active: loads.to_active,
             from_active: loads.from_active,
@@ -134,7 +134,7 @@
         let about = &summary.about;
         let now = self.gw.now();
         let mut tables = self.gw.tables();
-        let said = Said::default();
+        let said = LoadFlags::default();
         let word = tables
             .fleet
             .word(about.from, about.number, about.next(), said, now);
--- a/crates/policy/src/actives/mod.rs
+++ b/crates/policy/src/actives/mod.rs
@@ -34,6 +34,6 @@
     },
     table::{
         Actives,
-        Said, //
+        LoadFlags, //
     },
 };
--- a/crates/policy/src/actives/table.rs
+++ b/crates/policy/src/actives/table.rs
@@ -77,7 +77,7 @@
 
 /// What a router's word on its loads says besides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct Said {
+pub struct LoadFlags {
     /// It has many requests.
     pub busy: bool,
     /// It takes the router that it tells for active.
@@ -196,7 +196,7 @@
         from: u32,
         number: u32,
         next: Span,
-        said: Said,
+        said: LoadFlags,
         now: Time,
     ) -> Option<(RouterId, SocketAddr)> {
         let name = self.shorts.get(&from)?;
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -6,8 +6,8 @@
             router_key,
             Actives,
             HelloKind,
+            LoadFlags,
             RouterInfo,
-            Said,
             HELLO_EVERY, //
         },
         placement::{
@@ -58,7 +58,7 @@
     },
     Loads {
         next: Span,
-        said: Said,
+        said: LoadFlags,
         running: u32,
     },
     Summary {
@@ -246,10 +246,10 @@
         let number = router.number;
         let running = router.board.running();
         let due = router.fleet.due(running >= BUSY, urgent, now);
-        let said = Said {
+        let said = LoadFlags {
             busy: running >= BUSY,
             from_active: router.fleet.acts_active(now),
-            ..Said::default()
+            ..LoadFlags::default()
         };
         router.board.set_report_interval(router.fleet.pace());
         let sharers = router.fleet.sharers(now);
@@ -273,7 +273,7 @@
             if number % HELLO_EVERY == 1 {
                 self.send(i, *to, number, hello(next));
             }
-            let said = Said {
+            let said = LoadFlags {
                 to_active: true,
                 ..said
             };
@@ -374,7 +374,7 @@
                 } => {
                     let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
-                    let said = Said::default();
+                    let said = LoadFlags::default();
                     let heard = router.fleet.word(key, number, next, said, self.now);
                     if heard.is_some() {
                         router.fleet.set_sharers(sharers, self.now);
