--- a/crates/gateway/src/fleet/talk.rs
+++ b/crates/gateway/src/fleet/talk.rs
@@ -22,7 +22,7 @@
         actives::{
             router_key,
             Actives,
-            Due,
+            Recipients,
             HELLO_EVERY, //
         },
         RouterId,
@@ -152,16 +152,19 @@
         words.extend(tables.introductions(&facts, &due, now));
     }
     words.extend(tables.summaries(&facts, &due, now));
-    for (to, next) in [(due.far, due.far_next), (due.seldom, due.seldom_next)] {
+    for (to, next) in [
+        (due.remote, due.remote_next),
+        (due.standbys, due.standbys_next),
+    ] {
         if !to.is_empty() {
             let far = tables.hello(&facts, next, now);
             words.push((Word::Hello(Box::new(far)), to));
         }
     }
     drop(tables);
-    for (to, to_active) in [(due.near, true), (due.addressed, false)] {
+    for (to, to_active) in [(due.active_peers, true), (due.addressed, false)] {
         if !to.is_empty() {
-            let about = About::new(&facts, due.near_next);
+            let about = About::new(&facts, due.active_next);
             let mut loads = Loads::new(about, &loads);
             loads.to_active = to_active;
             loads.from_active = acts;
@@ -186,15 +189,20 @@
     }
 
     /// Returns introductions, with counts, for the active routers and the busy standbys.
-    fn introductions(&mut self, facts: &Facts, due: &Due, now: Time) -> Vec<Addressed> {
-        let near: Vec<SocketAddr> = due.near.iter().chain(&due.addressed).copied().collect();
-        let beside = due.beside.clone();
+    fn introductions(&mut self, facts: &Facts, due: &Recipients, now: Time) -> Vec<Addressed> {
+        let near: Vec<SocketAddr> = due
+            .active_peers
+            .iter()
+            .chain(&due.addressed)
+            .copied()
+            .collect();
+        let beside = due.busy_standbys.clone();
         let mut all = Vec::new();
         if near.is_empty() && beside.is_empty() {
             return all;
         }
         let counts = self.quota.report(now);
-        for (to, next) in [(near, due.near_next), (beside, due.beside_next)] {
+        for (to, next) in [(near, due.active_next), (beside, due.busy_next)] {
             if !to.is_empty() {
                 let mut hello = self.hello(facts, next, now);
                 hello.notes = self.quarantine.full_update(now);
@@ -206,10 +214,10 @@
     }
 
     /// Returns the summaries for the busy standbys that get them from this router.
-    fn summaries(&self, facts: &Facts, due: &Due, now: Time) -> Vec<Addressed> {
+    fn summaries(&self, facts: &Facts, due: &Recipients, now: Time) -> Vec<Addressed> {
         let sharers = self.fleet.sharers(now);
         let summary = |(name, addr): &(RouterId, SocketAddr)| {
-            let about = About::new(facts, due.near_next);
+            let about = About::new(facts, due.active_next);
             let loads = self.board.loads_except(name, now);
             let counts = self.quota.counts_except(name, now);
             (
--- a/crates/policy/src/actives/due.rs
+++ b/crates/policy/src/actives/due.rs
@@ -38,27 +38,27 @@
 
 /// Whom a router is to tell something now.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Due {
+pub struct Recipients {
     /// The active ones, and the time until they hear from this router again.
-    pub near: Vec<SocketAddr>,
-    /// See [`Due::near`].
-    pub near_next: Span,
+    pub active_peers: Vec<SocketAddr>,
+    /// See [`Recipients::active_peers`].
+    pub active_next: Span,
     /// Routers that act as active ones, though this one takes them for standbys. They get its loads.
     pub addressed: Vec<SocketAddr>,
     /// Standbys with many requests, which get its introductions, and the time between two of these.
-    pub beside: Vec<SocketAddr>,
-    /// See [`Due::beside`].
-    pub beside_next: Span,
+    pub busy_standbys: Vec<SocketAddr>,
+    /// See [`Recipients::busy_standbys`].
+    pub busy_next: Span,
     /// Those of them that get their summaries from this router.
     pub relayed: Vec<(RouterId, SocketAddr)>,
     /// Others, whom it only tells that it is there.
-    pub far: Vec<SocketAddr>,
+    pub remote: Vec<SocketAddr>,
     /// Time until these hear from this router again.
-    pub far_next: Span,
+    pub remote_next: Span,
     /// Others that stand by as this one does.
-    pub seldom: Vec<SocketAddr>,
+    pub standbys: Vec<SocketAddr>,
     /// Time until these hear from this router again.
-    pub seldom_next: Span,
+    pub standbys_next: Span,
 }
 
 impl Actives {
@@ -101,7 +101,7 @@
     /// Callers of a large workspace may all connect to one router, whatever addresses they are
     /// given. Without others' loads it would send half of all requests to engines that it takes for
     /// idle.
-    pub(super) fn beside(&self, now: Time) -> impl Iterator<Item = (&RouterId, &Peer)> {
+    pub(super) fn busy_standbys(&self, now: Time) -> impl Iterator<Item = (&RouterId, &Peer)> {
         let peers = self.peers.iter().filter(|(_, p)| p.active.is_none());
         peers.filter(move |(_, p)| is_recent(p.busy, now) && !is_recent(p.addressed, now))
     }
@@ -119,43 +119,45 @@
 
     /// Returns whom to tell something now; `busy` says that this router has requests at replicas,
     /// which the active ones are to know of, and `urgent` that all are to be told.
-    pub fn due(&mut self, busy: bool, urgent: bool, now: Time) -> Due {
+    pub fn due(&mut self, busy: bool, urgent: bool, now: Time) -> Recipients {
         self.refresh(now);
         let mut due = match self.acts_active(now) || busy {
             true => self.due_often(now),
-            false => Due::default(),
+            false => Recipients::default(),
         };
-        due.near_next = self.pace();
-        due.beside_next = due.near_next * f64::from(HELLO_EVERY);
-        for addr in due.near.iter().chain(&due.addressed) {
-            self.contacts.tell(*addr, due.near_next, now);
+        due.active_next = self.pace();
+        due.busy_next = due.active_next * f64::from(HELLO_EVERY);
+        for addr in due.active_peers.iter().chain(&due.addressed) {
+            self.contacts.tell(*addr, due.active_next, now);
         }
-        for addr in &due.beside {
-            self.contacts.tell(*addr, due.beside_next, now);
+        for addr in &due.busy_standbys {
+            self.contacts.tell(*addr, due.busy_next, now);
         }
         self.due_seldom(&mut due, urgent, now);
         due
     }
 
     /// Returns the receivers of frequent messages.
-    fn due_often(&self, now: Time) -> Due {
+    fn due_often(&self, now: Time) -> Recipients {
         let near = self.active().map(|(_, p)| p.intro.peers);
         let addressed = self.addressing(now).map(|p| p.intro.peers);
-        let beside = self.beside(now).map(|(_, p)| p.intro.peers);
-        let relayed = self.beside(now).filter(|(name, _)| self.relays_to(name));
-        Due {
-            near: near.collect(),
+        let beside = self.busy_standbys(now).map(|(_, p)| p.intro.peers);
+        let relayed = self
+            .busy_standbys(now)
+            .filter(|(name, _)| self.relays_to(name));
+        Recipients {
+            active_peers: near.collect(),
             addressed: addressed.collect(),
-            beside: beside.collect(),
+            busy_standbys: beside.collect(),
             relayed: relayed
                 .map(|(name, p)| (name.clone(), p.intro.peers))
                 .collect(),
-            ..Due::default()
+            ..Recipients::default()
         }
     }
 
     /// Adds the receivers of introductions only.
-    fn due_seldom(&mut self, due: &mut Due, urgent: bool, now: Time) {
+    fn due_seldom(&mut self, due: &mut Recipients, urgent: bool, now: Time) {
         let round = self.round();
         let often: HashSet<SocketAddr> = self.active().map(|(_, p)| p.intro.peers).collect();
         let is_active = self.is_active();
@@ -168,9 +170,9 @@
             true => self.contacts.all(round_of, now),
             false => self.contacts.due(round_of, now),
         };
-        (due.far, due.seldom) = all.into_iter().partition(is_often);
-        due.far_next = round;
-        due.seldom_next = round * STAND_BY;
+        (due.remote, due.standbys) = all.into_iter().partition(is_often);
+        due.remote_next = round;
+        due.standbys_next = round * STAND_BY;
     }
 
     /// Returns some addresses of other routers, to tell one that starts.
--- a/crates/policy/src/actives/mod.rs
+++ b/crates/policy/src/actives/mod.rs
@@ -23,7 +23,7 @@
         Member, //
     },
     due::{
-        Due,
+        Recipients,
         HELLO_EVERY, //
     },
     peer::{
--- a/crates/policy/src/actives/set.rs
+++ b/crates/policy/src/actives/set.rs
@@ -162,7 +162,7 @@
     /// all routers where it has none.
     pub fn sharers(&self, now: Time) -> usize {
         if self.is_active() {
-            return self.active_count() + self.beside(now).count();
+            return self.active_count() + self.busy_standbys(now).count();
         }
         let told = self
             .known_sharers
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -268,8 +268,8 @@
             next,
             known: Vec::new(),
         };
-        for to in &due.near {
-            let next = due.near_next;
+        for to in &due.active_peers {
+            let next = due.active_next;
             if number % HELLO_EVERY == 1 {
                 self.send(i, *to, number, hello(next));
             }
@@ -280,19 +280,19 @@
             self.send(i, *to, number, loads(next, said));
         }
         for to in &due.addressed {
-            let next = due.near_next;
+            let next = due.active_next;
             if number % HELLO_EVERY == 1 {
                 self.send(i, *to, number, hello(next));
             }
             self.send(i, *to, number, loads(next, said));
         }
-        for to in &due.beside {
+        for to in &due.busy_standbys {
             if number % HELLO_EVERY == 1 {
-                self.send(i, *to, number, hello(due.beside_next));
+                self.send(i, *to, number, hello(due.busy_next));
             }
         }
         for (to, running) in summaries {
-            let next = due.near_next;
+            let next = due.active_next;
             let summary = What::Summary {
                 next,
                 running,
@@ -300,11 +300,11 @@
             };
             self.send(i, to, number, summary);
         }
-        for to in &due.far {
-            self.send(i, *to, number, hello(due.far_next));
+        for to in &due.remote {
+            self.send(i, *to, number, hello(due.remote_next));
         }
-        for to in &due.seldom {
-            self.send(i, *to, number, hello(due.seldom_next));
+        for to in &due.standbys {
+            self.send(i, *to, number, hello(due.standbys_next));
         }
     }
 
