--- a/crates/gateway/src/fleet/hear.rs
+++ b/crates/gateway/src/fleet/hear.rs
@@ -121,7 +121,9 @@
             to_active: loads.to_active,
             from_active: loads.from_active,
         };
-        let word = tables.fleet.word(about.from, about.number, next, said, now);
+        let word = tables
+            .fleet
+            .receive_loads(about.from, about.number, next, said, now);
         let Some((from, at)) = word else {
             return;
         };
@@ -137,7 +139,7 @@
         let said = LoadFlags::default();
         let word = tables
             .fleet
-            .word(about.from, about.number, about.next(), said, now);
+            .receive_loads(about.from, about.number, about.next(), said, now);
         let Some((from, at)) = word else {
             return;
         };
@@ -155,18 +157,19 @@
         let mut tables = self.gw.tables();
         let rate = f64::from(hello.rate);
         let intro = hello.intro.clone();
-        let heard = tables
-            .fleet
-            .hello(&hello.name, about.number, intro, about.next(), rate, now);
+        let heard =
+            tables
+                .fleet
+                .receive_hello(&hello.name, about.number, intro, about.next(), rate, now);
         if heard == HelloKind::Stale {
             return heard;
         }
         if !hello.counts.is_empty() {
             tables.quota.set_peer(&hello.name, &hello.counts, now);
         }
-        tables.fleet.told_silent(&hello.silent, now);
+        tables.fleet.receive_silent(&hello.silent, now);
         for addr in &hello.known {
-            tables.fleet.list(*addr, now);
+            tables.fleet.add_address(*addr, now);
         }
         let left = tables.roster.apply_departures(&hello.left, now);
         let held = tables.quarantine.apply_update(&hello.notes, now);
@@ -200,8 +203,8 @@
         let hello = {
             let tables = self.gw.tables();
             let facts = tables.facts(&self.gw, number, config);
-            let mut hello = tables.hello(&facts, tables.fleet.round(), now);
-            hello.known = tables.fleet.some(KNOWN, fastrand::usize(..));
+            let mut hello = tables.hello(&facts, tables.fleet.hello_interval(), now);
+            hello.known = tables.fleet.sample_addresses(KNOWN, fastrand::usize(..));
             hello
         };
         send(&self.socket, &Word::Hello(Box::new(hello)), &[to], false).await;
--- a/crates/gateway/src/fleet/talk.rs
+++ b/crates/gateway/src/fleet/talk.rs
@@ -136,7 +136,7 @@
     let due = tables.fleet.due(speaks, urgent, now);
     occasion.note_active(&tables.fleet);
     let acts = tables.fleet.acts_active(now);
-    let pace = tables.fleet.pace();
+    let pace = tables.fleet.gossip_interval();
     tables.board.set_report_interval(pace);
     tables
         .quota
@@ -233,13 +233,13 @@
         Hello {
             about: About::new(facts, next),
             name: self.fleet.name().clone(),
-            intro: self.fleet.own().clone(),
+            intro: self.fleet.local().clone(),
             rate: self.fleet.rate() as f32,
             counts: Vec::new(),
             left: self.roster.departures(now),
             notes: self.quarantine.held_update(now),
             silent: self.fleet.silent(),
-            asks: self.fleet.knows_few(),
+            asks: self.fleet.needs_addresses(),
             known: Vec::new(),
         }
     }
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -37,8 +37,8 @@
 fn is_due(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
-    let routers = tables.fleet.takers();
-    let patience = tables.fleet.patience();
+    let routers = tables.fleet.eligible_count();
+    let patience = tables.fleet.standby_delay();
     if tables.watch.told_within(patience, now) {
         return false;
     }
@@ -50,7 +50,9 @@
     let now = gw.now();
     let tables = gw.tables();
     // One that stands by hears who else watches only every few seconds.
-    let others = tables.watch.others_within(tables.fleet.patience(), now);
+    let others = tables
+        .watch
+        .others_within(tables.fleet.standby_delay(), now);
     others || tables.watch.yields(&gw.settings.name, now)
 }
 
--- a/crates/gateway/src/follow/register.rs
+++ b/crates/gateway/src/follow/register.rs
@@ -326,7 +326,7 @@
         ..QuarantineUpdate::default()
     };
     let mut tables = gw.tables();
-    tables.fleet.list(entry.peers, now);
+    tables.fleet.add_address(entry.peers, now);
     let begun = tables.quarantine.apply_update(&notes, now);
     drop(tables);
     for digest in begun {
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -58,8 +58,8 @@
 fn is_due(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
-    let routers = tables.fleet.takers();
-    let since = now - tables.fleet.patience();
+    let routers = tables.fleet.eligible_count();
+    let since = now - tables.fleet.standby_delay();
     tables.roster.is_due(fastrand::f64(), routers, since)
 }
 
--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/leave.rs
@@ -83,7 +83,7 @@
             let now = gw.now();
             let mut tables = gw.tables();
             for seed in new.seeds() {
-                tables.fleet.list(seed, now);
+                tables.fleet.add_address(seed, now);
             }
         }
         Err(e) => log::error!("event=reload outcome=rejected cause={:?}", e.to_string()),
--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -202,7 +202,7 @@
             target: Span::from(req.route.target),
             shortest_target: Span::from(req.shortest),
             usage: standing,
-            load_interval: self.fleet.pace(),
+            load_interval: self.fleet.gossip_interval(),
             tuning: &gw.settings.placement,
         };
         (Some(pick(&candidates, &wish)), basis)
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -120,7 +120,7 @@
     );
     let gw = Arc::new(Shared::new(settings, dialect, store));
     for seed in seeds {
-        gw.tables().fleet.list(seed, gw.now());
+        gw.tables().fleet.add_address(seed, gw.now());
     }
     let (stop, stopped) = bounded(1);
     task::spawn(serve::serve_ready(gw.clone(), ready));
--- a/crates/policy/src/actives/due.rs
+++ b/crates/policy/src/actives/due.rs
@@ -63,17 +63,17 @@
 
 impl Actives {
     /// Returns the time between two words of active routers.
-    pub fn pace(&self) -> Span {
+    pub fn gossip_interval(&self) -> Span {
         self.beat.max(NEAR * self.active_count() as f64)
     }
 
     /// Tells whether this router knows so few others that it asks for more.
-    pub fn knows_few(&self) -> bool {
+    pub fn needs_addresses(&self) -> bool {
         self.peers.len() < FEW
     }
 
     /// Returns the time in which an active router tells each other one that it is there.
-    pub fn round(&self) -> Span {
+    pub fn hello_interval(&self) -> Span {
         FAR_LEAST.max(FAR * self.contacts.len() as f64)
     }
 
@@ -125,7 +125,7 @@
             true => self.due_often(now),
             false => Recipients::default(),
         };
-        due.active_next = self.pace();
+        due.active_next = self.gossip_interval();
         due.busy_next = due.active_next * f64::from(HELLO_EVERY);
         for addr in due.active_peers.iter().chain(&due.addressed) {
             self.contacts.tell(*addr, due.active_next, now);
@@ -158,7 +158,7 @@
 
     /// Adds the receivers of introductions only.
     fn due_seldom(&mut self, due: &mut Recipients, urgent: bool, now: Time) {
-        let round = self.round();
+        let round = self.hello_interval();
         let often: HashSet<SocketAddr> = self.active().map(|(_, p)| p.intro.peers).collect();
         let is_active = self.is_active();
         let is_often = |addr: &SocketAddr| is_active || often.contains(addr);
@@ -176,7 +176,7 @@
     }
 
     /// Returns some addresses of other routers, to tell one that starts.
-    pub fn some(&self, most: usize, skip: usize) -> Vec<SocketAddr> {
+    pub fn sample_addresses(&self, most: usize, skip: usize) -> Vec<SocketAddr> {
         let all = self.contacts.addresses().collect::<Vec<_>>();
         let from = skip % all.len().max(1);
         let turned = all[from..].iter().chain(&all[..from]);
--- a/crates/policy/src/actives/set.rs
+++ b/crates/policy/src/actives/set.rs
@@ -176,7 +176,7 @@
     }
 
     /// Returns among how many routers one is drawn where one of them is to do something.
-    pub fn takers(&self) -> usize {
+    pub fn eligible_count(&self) -> usize {
         match self.is_active() {
             true => self.active_count(),
             false => self.contacts.len() + 1,
@@ -189,7 +189,7 @@
     /// One that stands by hears each active one every three seconds, and so is late to hear that one
     /// did it. Where such routers waited no longer, 280 of them began one watch after the other
     /// and ended none: 7,018 calls to the store on a quiet day of 48 s.
-    pub fn patience(&self) -> Span {
+    pub fn standby_delay(&self) -> Span {
         match self.is_active() {
             true => Span::ZERO,
             false => PATIENCE,
--- a/crates/policy/src/actives/table.rs
+++ b/crates/policy/src/actives/table.rs
@@ -43,7 +43,7 @@
 /// };
 /// let mut fleet = Actives::new("r1".parse()?, intro(7000), 24, Span::millis(100));
 /// let (name, now) = ("r2".parse()?, Time(0));
-/// fleet.hello(&name, 1, intro(7100), Span::millis(100), 0.0, now);
+/// fleet.receive_hello(&name, 1, intro(7100), Span::millis(100), 0.0, now);
 /// fleet.refresh(now);
 /// assert_eq!(fleet.active_count(), 2);
 /// // It falls silent.
@@ -112,7 +112,7 @@
     }
 
     /// Returns what this router tells of itself.
-    pub fn own(&self) -> &RouterInfo {
+    pub fn local(&self) -> &RouterInfo {
         &self.own
     }
 
@@ -135,14 +135,14 @@
     }
 
     /// Notes that somebody lists a router at this address.
-    pub fn list(&mut self, addr: SocketAddr, now: Time) {
+    pub fn add_address(&mut self, addr: SocketAddr, now: Time) {
         if addr != self.own.peers {
             self.contacts.list(addr, now);
         }
     }
 
     /// Takes the word of another router on who it is; its next one comes after `next`.
-    pub fn hello(
+    pub fn receive_hello(
         &mut self,
         name: &RouterId,
         number: u32,
@@ -191,7 +191,7 @@
 
     /// Takes a router's word on its loads. Returns who it is and where it hears the others, unless
     /// the word is old or from one that has not said who it is.
-    pub fn word(
+    pub fn receive_loads(
         &mut self,
         from: u32,
         number: u32,
@@ -225,7 +225,7 @@
 
     /// Takes another router's word that active ones are silent. One that stands by hears each only
     /// every few seconds, and would send callers to one that is gone for as long.
-    pub fn told_silent(&mut self, silent: &[u32], now: Time) {
+    pub fn receive_silent(&mut self, silent: &[u32], now: Time) {
         for key in silent {
             let name = self.shorts.get(key);
             let Some(peer) = name.and_then(|name| self.peers.get_mut(name)) else {
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -158,7 +158,7 @@
     /// Tells a router of the three whose addresses settings name.
     fn seed(&mut self, i: usize) {
         for seed in 0..3.min(self.routers.len()) {
-            self.routers[i].fleet.list(address(seed), self.now);
+            self.routers[i].fleet.add_address(address(seed), self.now);
         }
     }
 
@@ -207,7 +207,7 @@
 
     /// Starts a router that knows nobody but those that its settings name.
     pub(crate) fn start(&mut self, i: usize) {
-        let incarnation = self.routers[i].fleet.own().incarnation.0 + 1;
+        let incarnation = self.routers[i].fleet.local().incarnation.0 + 1;
         let own = intro(i, incarnation);
         self.routers[i] = Router {
             fleet: Actives::new(name(i), own, LEAST, Span::millis(100)),
@@ -251,14 +251,16 @@
             from_active: router.fleet.acts_active(now),
             ..LoadFlags::default()
         };
-        router.board.set_report_interval(router.fleet.pace());
+        router
+            .board
+            .set_report_interval(router.fleet.gossip_interval());
         let sharers = router.fleet.sharers(now);
         let summaries: Vec<(SocketAddr, u32)> = due
             .relayed
             .iter()
             .map(|(name, addr)| (*addr, running_in(&router.board.loads_except(name, now))))
             .collect();
-        router.speaks = now + router.fleet.pace();
+        router.speaks = now + router.fleet.gossip_interval();
         let loads = |next, said| What::Loads {
             next,
             said,
@@ -323,7 +325,7 @@
         }
         let at = self.now + Span::millis(self.rng.u64(1..8));
         self.sequence += 1;
-        let incarnation = self.routers[from].fleet.own().incarnation;
+        let incarnation = self.routers[from].fleet.local().incarnation;
         self.got[to] += bytes;
         self.words.push((
             Reverse((at, self.sequence)),
@@ -360,7 +362,9 @@
                 } => {
                     let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
-                    let heard = router.fleet.word(key, number, next, said, self.now);
+                    let heard = router
+                        .fleet
+                        .receive_loads(key, number, next, said, self.now);
                     if heard.is_some() {
                         router
                             .board
@@ -375,7 +379,9 @@
                     let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
                     let said = LoadFlags::default();
-                    let heard = router.fleet.word(key, number, next, said, self.now);
+                    let heard = router
+                        .fleet
+                        .receive_loads(key, number, next, said, self.now);
                     if heard.is_some() {
                         router.fleet.set_sharers(sharers, self.now);
                         router.board.set_summary(&at_replica(running), self.now);
@@ -397,9 +403,9 @@
         let now = self.now;
         let intro = RouterInfo {
             incarnation,
-            ..self.routers[from].fleet.own().clone()
+            ..self.routers[from].fleet.local().clone()
         };
-        let asks = self.routers[from].fleet.knows_few();
+        let asks = self.routers[from].fleet.needs_addresses();
         let silent = self.routers[from].fleet.silent();
         let speaker = &self.routers[from].fleet;
         let rate = match speaker.is_active() {
@@ -407,13 +413,13 @@
             false => 0.0,
         };
         let fleet = &mut self.routers[to].fleet;
-        let heard = fleet.hello(&name(from), number, intro, next, rate, now);
+        let heard = fleet.receive_hello(&name(from), number, intro, next, rate, now);
         if heard == HelloKind::Stale {
             return;
         }
-        fleet.told_silent(&silent, now);
+        fleet.receive_silent(&silent, now);
         for addr in known {
-            fleet.list(*addr, now);
+            fleet.add_address(*addr, now);
         }
         if heard == HelloKind::First && asks {
             self.answer(to, from);
@@ -424,8 +430,8 @@
         let skip = self.rng.usize(..1_000);
         let router = &mut self.routers[i];
         router.number += 1;
-        let (number, next) = (router.number, router.fleet.round());
-        let known = router.fleet.some(KNOWN, skip);
+        let (number, next) = (router.number, router.fleet.hello_interval());
+        let known = router.fleet.sample_addresses(KNOWN, skip);
         self.send(i, address(to), number, What::Hello { next, known });
     }
 
