--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -23,7 +23,7 @@
     }
     loop {
         if !is_due(&gw) {
-            task::sleep(Watch::LOOK.into()).await;
+            task::sleep(Watch::POLL_INTERVAL.into()).await;
             continue;
         }
         match read(&gw).await {
@@ -39,7 +39,7 @@
     let tables = gw.tables();
     let routers = tables.fleet.eligible_count();
     let patience = tables.fleet.standby_delay();
-    if tables.watch.told_within(patience, now) {
+    if tables.watch.confirmed_within(patience, now) {
         return false;
     }
     !gw.is_leaving() && tables.watch.is_due(fastrand::f64(), routers, now)
@@ -52,7 +52,7 @@
     // One that stands by hears who else watches only every few seconds.
     let others = tables
         .watch
-        .others_within(tables.fleet.standby_delay(), now);
+        .peer_confirmed_within(tables.fleet.standby_delay(), now);
     others || tables.watch.yields(&gw.settings.name, now)
 }
 
@@ -95,7 +95,7 @@
 async fn watch(gw: &Shared, mut revision: Revision) {
     log::info!("event=watch outcome=begun revision={revision}");
     let cause = loop {
-        let watched = (gw.store.watch)(revision, Watch::WAIT.into()).await;
+        let watched = (gw.store.watch)(revision, Watch::LONG_POLL_TIMEOUT.into()).await;
         gw.note_store("watch", watched.as_ref().err());
         match watched {
             Ok(watched) => {
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -39,7 +39,7 @@
 pub(crate) async fn follow_replicas(gw: Arc<Shared>) {
     loop {
         if !is_due(&gw) {
-            task::sleep(Roster::<()>::LOOK.into()).await;
+            task::sleep(Roster::<()>::POLL_INTERVAL.into()).await;
             continue;
         }
         let read = (gw.store.replicas)().await;
--- a/crates/policy/src/roster/mod.rs
+++ b/crates/policy/src/roster/mod.rs
@@ -253,7 +253,7 @@
     }
 
     /// How often a router looks whether it is to read the list.
-    pub const LOOK: Span = turn::LOOK;
+    pub const POLL_INTERVAL: Span = turn::POLL_INTERVAL;
 
     /// Tells whether this router is to read the list now, of so many; `roll` is a number from
     /// 0 to 1 that is drawn at each look.
--- a/crates/policy/src/turn.rs
+++ b/crates/policy/src/turn.rs
@@ -3,7 +3,7 @@
 use crate::Span;
 
 /// How often a router looks whether it is its turn.
-pub(crate) const LOOK: Span = Span::millis(50);
+pub(crate) const POLL_INTERVAL: Span = Span::millis(50);
 /// How many routers take their turn in a second once the work is due, on average. It rises by
 /// as much for each [`RISE`] that nobody did: the first does after 0.1 s, none after 0.5 s once in
 /// 6,000 times, and about two do before all have heard of it.
@@ -19,6 +19,6 @@
 /// routers.
 pub(crate) fn is_drawn(roll: f64, over: Span, routers: usize) -> bool {
     let rise = 1.0 + over.as_secs() / RISE.as_secs();
-    let chance = LOOK.as_secs() * TAKERS * rise / routers.max(1) as f64;
+    let chance = POLL_INTERVAL.as_secs() * TAKERS * rise / routers.max(1) as f64;
     roll < chance
 }
--- a/crates/policy/src/watch.rs
+++ b/crates/policy/src/watch.rs
@@ -71,10 +71,10 @@
 
 impl Watch {
     /// How often a router looks whether it is to watch.
-    pub const LOOK: Span = turn::LOOK;
+    pub const POLL_INTERVAL: Span = turn::POLL_INTERVAL;
     /// How long one watch waits for a change. Only the end of a wait tells that the way to the
     /// store is still there.
-    pub const WAIT: Span = Span::millis(600);
+    pub const LONG_POLL_TIMEOUT: Span = Span::millis(600);
 
     /// Notes that the store told this router the newest configuration, or that nothing changed.
     pub fn confirmed(&mut self, now: Time) {
@@ -117,12 +117,12 @@
 
     /// Tells whether the store told any router of late that it has the newest configuration, as far
     /// as is known.
-    pub fn told_within(&self, span: Span, now: Time) -> bool {
+    pub fn confirmed_within(&self, span: Span, now: Time) -> bool {
         self.last.is_some_and(|at| now.since(at) < span)
     }
 
     /// Tells the same of routers other than this one.
-    pub fn others_within(&self, span: Span, now: Time) -> bool {
+    pub fn peer_confirmed_within(&self, span: Span, now: Time) -> bool {
         let mut others = self.peers.values();
         others.any(|fresh| now.since(fresh.at) < span)
     }
@@ -151,7 +151,8 @@
     /// until its next call fails.
     pub fn yields(&self, name: &RouterId, now: Time) -> bool {
         let lasting = |fresh: &Fresh| {
-            now.since(fresh.at) < STALE && fresh.at.since(fresh.since) >= Watch::WAIT * 2.0
+            now.since(fresh.at) < STALE
+                && fresh.at.since(fresh.since) >= Watch::LONG_POLL_TIMEOUT * 2.0
         };
         let mut first = self.peers.iter().filter(|(peer, _)| *peer < name);
         first.any(|(_, fresh)| lasting(fresh))
--- a/crates/policy/tests/placement/roster.rs
+++ b/crates/policy/tests/placement/roster.rs
@@ -133,7 +133,7 @@
     let mut reads = Vec::new();
     for ms in (0..60_000).step_by(10) {
         for (n, router) in all.iter_mut().enumerate() {
-            let looks = (ms + n as u64 * 10) % Roster::<()>::LOOK.as_millis() == 0;
+            let looks = (ms + n as u64 * 10) % Roster::<()>::POLL_INTERVAL.as_millis() == 0;
             if looks && router.is_due(roll(n, ms), routers, at(ms)) {
                 list(router, &["a"], ms);
                 reads.push(ms);
@@ -501,7 +501,7 @@
     for ms in (0..14_000).step_by(10) {
         let now = at(ms);
         for (n, router) in all.iter_mut().enumerate() {
-            let looks = (ms + n as u64 * 10) % Roster::<()>::LOOK.as_millis() == 0;
+            let looks = (ms + n as u64 * 10) % Roster::<()>::POLL_INTERVAL.as_millis() == 0;
             if looks && router.is_due(roll(n, ms), routers, now) {
                 let (era, number) = if ms < 5_000 {
                     (1, 90)
--- a/crates/policy/tests/watch/fleet.rs
+++ b/crates/policy/tests/watch/fleet.rs
@@ -129,7 +129,7 @@
                     true => self.call(i),
                     false => {
                         self.routers[i].doing = Doing::Looks {
-                            at: now + Watch::LOOK,
+                            at: now + Watch::POLL_INTERVAL,
                         }
                     }
                 }
@@ -148,7 +148,7 @@
         let now = self.now;
         self.calls += 1;
         if self.silent.contains(&i) {
-            let until = now + Watch::WAIT + HANGS;
+            let until = now + Watch::LONG_POLL_TIMEOUT + HANGS;
             self.routers[i].doing = Doing::Hangs { until };
             return;
         }
@@ -165,7 +165,7 @@
                 Doing::Looks { at: now }
             }
             false => Doing::Waits {
-                until: now + Watch::WAIT,
+                until: now + Watch::LONG_POLL_TIMEOUT,
             },
         };
     }
--- a/crates/policy/tests/watch/main.rs
+++ b/crates/policy/tests/watch/main.rs
@@ -103,11 +103,11 @@
     watch.set_peer(&"r1".parse().unwrap(), Some(Span::ZERO), Time(0));
     for ms in (0..6_000).step_by(50) {
         let now = Time(0) + Span::millis(ms);
-        assert!(watch.told_within(patience, now), "{ms}");
-        assert!(watch.others_within(patience, now), "{ms}");
+        assert!(watch.confirmed_within(patience, now), "{ms}");
+        assert!(watch.peer_confirmed_within(patience, now), "{ms}");
     }
     // Nobody watches any more: then it is theirs to do.
     let later = Time(0) + Span::secs(7);
-    assert!(!watch.told_within(patience, later));
+    assert!(!watch.confirmed_within(patience, later));
     assert!(watch.is_due(0.0, 300, later));
 }
