--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -35,9 +35,9 @@
     exchange::{
         exchange,
         Answer,
-        Ask,
+        ClientRequest,
         ExchangeError,
-        Kept, //
+        IdleConnection, //
     },
     head::{
         Header,
