--- a/crates/policy/src/placement/board.rs
+++ b/crates/policy/src/placement/board.rs
@@ -1,4 +1,4 @@
-//! How much work each replica has, over the whole fleet.
+//! The load of each replica over the whole fleet.
 
 use {
     crate::{
@@ -21,50 +21,52 @@
     xxhash_rust::xxh3::xxh3_64_with_seed, //
 };
 
-/// A peer's word counts for this long at least, and until so many words have been missed.
+/// How long the load report of a peer is valid: this long at least, and until this many reports in
+/// a row have been missed.
 ///
-/// Peers speak several times in this span, so one that is not heard was cut off or is gone,
-/// and its requests end with it. Kept for longer, a killed router's requests would keep
-/// places taken that are free. One word in some hundred is lost.
-const HEARD: Validity = Validity::new(Span::millis(700), 2.3);
+/// Peers report several times in this span, so a peer that sends nothing is disconnected or down,
+/// and its requests end with it. With a longer span, the requests of a killed router would keep
+/// free slots occupied. About one message in a few hundred is lost.
+const REPORT_VALIDITY: Validity = Validity::new(Span::millis(700), 2.3);
 
-/// A short name of a replica for messages between routers: 4 bytes in place of 10 to 20.
+/// A 32-bit hash that identifies a replica in messages between routers: 4 bytes instead of 10 to
+/// 20.
 ///
-/// Two replicas of 100 share a name by a chance of about one in a million; each then counts
-/// the other's work as its own, and gets less until one of them is replaced.
+/// Two of 100 replicas have the same key with a probability of about one in a million. Each then
+/// counts the other's load as its own, and gets fewer requests until one of them is replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ReplicaKey(pub u32);
 
-/// What is known of each replica.
+/// A map by replica.
 ///
-/// A decision looks at every replica several times, and these names are hashes already. The usual
-/// hash function guards against keys that callers choose, which these are not.
+/// A decision looks at every replica several times, and the keys are hashes already. The default
+/// hasher protects against keys that callers choose, which these are not.
 pub type ReplicaMap<V> = HashMap<ReplicaKey, V, FxBuildHasher>;
 
-/// A router's view of the requests at all replicas.
+/// What a router knows of the requests at all replicas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct View {
-    /// Requests of all routers, as far as it knows, its own included.
+    /// Requests of all routers, as far as it knows, including its own.
     pub running: u32,
-    /// Its own.
+    /// Requests of this router.
     pub local: u32,
-    /// Peers that sent their loads themselves a moment ago.
+    /// Peers whose own load reports are still valid.
     pub peers: usize,
 }
 
-/// Work at a replica.
+/// The load of a replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Load {
-    /// Requests sent there that have not ended.
+    /// Requests sent to it that have not ended.
     pub running: u32,
-    /// Prompt tokens of these that the replica has still to read.
+    /// Prompt tokens of these requests that it still has to read.
     pub unread: u64,
-    /// Tokens that these take of the replica's memory.
+    /// Tokens that these requests take in its memory.
     pub memory: u64,
 }
 
-/// The work of each replica: this router's requests, and what peers told of theirs.
+/// The load of each replica: the requests of this router, and those that its peers report.
 ///
 /// # Examples
 ///
@@ -81,44 +83,44 @@
 /// ```
 #[derive(Debug)]
 pub struct Board {
-    own: ReplicaMap<Load>,
-    peers: HashMap<RouterId, Told>,
-    /// Sum of what the peers told.
+    local: ReplicaMap<Load>,
+    peers: HashMap<RouterId, LoadReport>,
+    /// The sum of the peers' reports.
     ///
-    /// A decision looks at every replica, and adding up the peers for each would take more time
-    /// than all else that a request takes.
-    told: ReplicaMap<Load>,
-    /// The sum of all other routers' work, as an active router last sent it to this standby.
-    summary: Option<Told>,
-    /// When the peer that was not heard for longest last spoke.
+    /// A decision looks at every replica; summing up the peers for each one would take more time
+    /// than everything else that a request needs.
+    peer_sum: ReplicaMap<Load>,
+    /// The summed load of all other routers, as an active router last sent it to this standby.
+    summary: Option<LoadReport>,
+    /// Time of the oldest report among the peers.
     oldest: Option<Time>,
-    heard: Validity,
+    validity: Validity,
 }
 
 impl Default for Board {
     fn default() -> Board {
         Board {
-            own: ReplicaMap::default(),
+            local: ReplicaMap::default(),
             peers: HashMap::new(),
-            told: ReplicaMap::default(),
+            peer_sum: ReplicaMap::default(),
             summary: None,
             oldest: None,
-            heard: HEARD,
+            validity: REPORT_VALIDITY,
         }
     }
 }
 
 #[derive(Debug)]
-struct Told {
+struct LoadReport {
     at: Time,
     loads: ReplicaMap<Load>,
-    /// Requests of all loads.
+    /// Requests in all of these loads.
     running: u32,
 }
 
-impl Told {
-    fn new(loads: &[(ReplicaKey, Load)], now: Time) -> Told {
-        Told {
+impl LoadReport {
+    fn new(loads: &[(ReplicaKey, Load)], now: Time) -> LoadReport {
+        LoadReport {
             at: now,
             loads: loads.iter().copied().collect(),
             running: loads.iter().map(|(_, load)| load.running).sum(),
@@ -127,17 +129,17 @@
 }
 
 impl ReplicaKey {
-    /// Returns the short name of a replica that does not tell when it started.
+    /// Returns the key of a replica that doesn't publish when it started.
     pub fn of(id: &ReplicaId) -> ReplicaKey {
         ReplicaKey::of_start(id, None)
     }
 
-    /// Returns the short name of one start of a replica.
+    /// Returns the key of one incarnation of a replica.
     ///
-    /// A replica may start again under its id. It then holds nothing of before, and whatever is
-    /// remembered under this name, here and at the peers, starts anew with it.
-    pub fn of_start(id: &ReplicaId, born: Option<StartedAt>) -> ReplicaKey {
-        let seed = born.map_or(0, |b| b.0);
+    /// A replica may restart under the same id. It then holds no earlier requests, and everything
+    /// that is stored under its key, here and at the peers, starts from scratch.
+    pub fn of_start(id: &ReplicaId, started_at: Option<StartedAt>) -> ReplicaKey {
+        let seed = started_at.map_or(0, |at| at.0);
         ReplicaKey(xxh3_64_with_seed(id.as_str().as_bytes(), seed) as u32)
     }
 }
@@ -157,7 +159,7 @@
         }
     }
 
-    fn take(&mut self, other: Load) {
+    fn subtract(&mut self, other: Load) {
         self.running = self.running.saturating_sub(other.running);
         self.unread = self.unread.saturating_sub(other.unread);
         self.memory = self.memory.saturating_sub(other.memory);
@@ -165,155 +167,162 @@
 }
 
 impl Board {
-    /// Sets how often peers speak. In a large fleet they do so more seldom, and a word that
-    /// counted for less than the time to the next would be missing most of the time.
-    pub fn set_report_interval(&mut self, every: Span) {
-        self.heard.set_report_interval(every);
+    /// Sets how often peers report. They do so less often in a large fleet, and a validity shorter
+    /// than the interval would leave their load out most of the time.
+    pub fn set_report_interval(&mut self, interval: Span) {
+        self.validity.set_report_interval(interval);
     }
 
     /// Counts a request that is sent to a replica.
     pub fn start(&mut self, replica: ReplicaKey, load: Load) {
-        self.own.entry(replica).or_default().add(load);
+        self.local.entry(replica).or_default().add(load);
     }
 
-    /// Notes that a request's prompt was read, as its first event came.
+    /// Records that the prompt of a request was read, since its first event arrived.
     pub fn read(&mut self, replica: ReplicaKey, tokens: u64) {
-        if let Some(own) = self.own.get_mut(&replica) {
-            own.unread = own.unread.saturating_sub(tokens);
+        if let Some(local) = self.local.get_mut(&replica) {
+            local.unread = local.unread.saturating_sub(tokens);
         }
     }
 
-    /// Takes away what is left of a request that has ended.
+    /// Subtracts what is left of a request that has ended.
     pub fn end(&mut self, replica: ReplicaKey, left: Load) {
-        if let Some(own) = self.own.get_mut(&replica) {
-            own.take(left);
-            if *own == Load::default() {
-                self.own.remove(&replica);
+        if let Some(local) = self.local.get_mut(&replica) {
+            local.subtract(left);
+            if *local == Load::default() {
+                self.local.remove(&replica);
             }
         }
     }
 
-    /// Takes what a peer tells of its requests, in place of what it told before.
+    /// Replaces the report of a peer.
     pub fn set_peer(&mut self, from: &RouterId, loads: &[(ReplicaKey, Load)], now: Time) {
-        let told = Told::new(loads, now);
-        for (key, load) in &told.loads {
-            self.told.entry(*key).or_default().add(*load);
+        let report = LoadReport::new(loads, now);
+        for (key, load) in &report.loads {
+            self.peer_sum.entry(*key).or_default().add(*load);
         }
-        if let Some(before) = self.peers.insert(from.clone(), told) {
-            self.take_back(&before);
+        if let Some(before) = self.peers.insert(from.clone(), report) {
+            self.subtract_report(&before);
         }
-        self.oldest = self.peers.values().map(|told| told.at).min();
+        self.oldest = self.peers.values().map(|report| report.at).min();
     }
 
-    /// Replaces the sum of all other routers' work.
+    /// Replaces the summed load of all other routers.
     ///
-    /// Some of these may send their own loads as well, so the larger of both counts for a replica.
+    /// Some of these routers may also report to this one directly, so the larger value counts for
+    /// each replica.
     pub fn set_summary(&mut self, loads: &[(ReplicaKey, Load)], now: Time) {
-        self.summary = Some(Told::new(loads, now));
+        self.summary = Some(LoadReport::new(loads, now));
     }
 
-    /// Returns the work of all routers but one, to send it to that one.
+    /// Returns the load of all routers except one, as a summary for that one.
     pub fn loads_except(&self, peer: &RouterId, now: Time) -> Vec<(ReplicaKey, Load)> {
         let theirs = self.peers.get(peer);
-        let theirs = theirs.filter(|told| self.heard.is_valid(told.at, now));
-        let keys: BTreeSet<ReplicaKey> = self.own.keys().chain(self.told.keys()).copied().collect();
+        let theirs = theirs.filter(|report| self.validity.is_valid(report.at, now));
+        let keys: BTreeSet<ReplicaKey> = self
+            .local
+            .keys()
+            .chain(self.peer_sum.keys())
+            .copied()
+            .collect();
         let others = keys.into_iter().map(|key| {
             let mut load = self.load(key, now);
-            if let Some(own) = theirs.and_then(|told| told.loads.get(&key)) {
-                load.take(*own);
+            if let Some(their_load) = theirs.and_then(|report| report.loads.get(&key)) {
+                load.subtract(*their_load);
             }
             (key, load)
         });
         others.filter(|(_, load)| load.running > 0).collect()
     }
 
-    fn take_back(&mut self, told: &Told) {
-        for (key, load) in &told.loads {
-            if let Some(sum) = self.told.get_mut(key) {
-                sum.take(*load);
+    fn subtract_report(&mut self, report: &LoadReport) {
+        for (key, load) in &report.loads {
+            if let Some(sum) = self.peer_sum.get_mut(key) {
+                sum.subtract(*load);
                 if *sum == Load::default() {
-                    self.told.remove(key);
+                    self.peer_sum.remove(key);
                 }
             }
         }
     }
 
-    /// Drops the word of peers that were not heard for a while.
+    /// Drops the reports that are no longer valid.
     pub fn forget(&mut self, now: Time) {
         self.summary
-            .take_if(|told| !self.heard.is_valid(told.at, now));
-        if self.oldest.is_none_or(|at| self.heard.is_valid(at, now)) {
+            .take_if(|report| !self.validity.is_valid(report.at, now));
+        if self.oldest.is_none_or(|at| self.validity.is_valid(at, now)) {
             return;
         }
-        let heard = |told: &Told| self.heard.is_valid(told.at, now);
-        let (heard, silent) = std::mem::take(&mut self.peers)
+        let is_valid = |report: &LoadReport| self.validity.is_valid(report.at, now);
+        let (valid, expired) = std::mem::take(&mut self.peers)
             .into_iter()
-            .partition(|(_, told)| heard(told));
-        self.peers = heard;
-        let silent: HashMap<RouterId, Told> = silent;
-        for told in silent.values() {
-            self.take_back(told);
+            .partition(|(_, report)| is_valid(report));
+        self.peers = valid;
+        let expired: HashMap<RouterId, LoadReport> = expired;
+        for report in expired.values() {
+            self.subtract_report(report);
         }
-        self.oldest = self.peers.values().map(|told| told.at).min();
+        self.oldest = self.peers.values().map(|report| report.at).min();
     }
 
-    /// Returns the work of a replica over the fleet.
+    /// Returns the load of a replica over the whole fleet.
     pub fn load(&self, replica: ReplicaKey, now: Time) -> Load {
         let summary = self.summary.as_ref();
-        let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
-        let summed = summary.and_then(|told| told.loads.get(&replica));
-        let told = self.told(replica, now);
+        let summary = summary.filter(|report| self.validity.is_valid(report.at, now));
+        let summed = summary.and_then(|report| report.loads.get(&replica));
+        let reported = self.reported(replica, now);
         let mut sum = self.local(replica);
-        sum.add(told.max(summed.copied().unwrap_or_default()));
+        sum.add(reported.max(summed.copied().unwrap_or_default()));
         sum
     }
 
-    /// Returns what the peers told of a replica.
-    fn told(&self, replica: ReplicaKey, now: Time) -> Load {
-        if self.oldest.is_none_or(|at| self.heard.is_valid(at, now)) {
-            return self.told.get(&replica).copied().unwrap_or_default();
+    /// Returns the load of a replica that the peers report.
+    fn reported(&self, replica: ReplicaKey, now: Time) -> Load {
+        if self.oldest.is_none_or(|at| self.validity.is_valid(at, now)) {
+            return self.peer_sum.get(&replica).copied().unwrap_or_default();
         }
-        // Somebody is silent, and was not forgotten yet.
+        // The sum still includes a peer whose report has expired.
         let mut sum = Load::default();
-        for told in self.peers.values() {
-            if !self.heard.is_valid(told.at, now) {
+        for report in self.peers.values() {
+            if !self.validity.is_valid(report.at, now) {
                 continue;
             }
-            if let Some(load) = told.loads.get(&replica) {
+            if let Some(load) = report.loads.get(&replica) {
                 sum.add(*load);
             }
         }
         sum
     }
 
-    /// Returns this router's own work at a replica.
+    /// Returns the load of this router's own requests at a replica.
     pub fn local(&self, replica: ReplicaKey) -> Load {
-        self.own.get(&replica).copied().unwrap_or_default()
+        self.local.get(&replica).copied().unwrap_or_default()
     }
 
     /// Returns how many requests this router has at replicas.
     pub fn running(&self) -> u32 {
-        self.own.values().map(|load| load.running).sum()
+        self.local.values().map(|load| load.running).sum()
     }
 
     /// Returns what this router knows of the requests at all replicas.
     pub fn view(&self, now: Time) -> View {
-        let heard = self.peers.values();
-        let heard = heard.filter(|told| self.heard.is_valid(told.at, now));
-        let (peers, told) =
-            heard.fold((0, 0), |(peers, sum), told| (peers + 1, sum + told.running));
+        let valid = self.peers.values();
+        let valid = valid.filter(|report| self.validity.is_valid(report.at, now));
+        let (peers, reported) = valid.fold((0, 0), |(peers, sum), report| {
+            (peers + 1, sum + report.running)
+        });
         let summary = self.summary.as_ref();
-        let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
-        let own = self.running();
+        let summary = summary.filter(|report| self.validity.is_valid(report.at, now));
+        let local = self.running();
         View {
-            running: own + told.max(summary.map_or(0, |told| told.running)),
-            local: own,
+            running: local + reported.max(summary.map_or(0, |report| report.running)),
+            local,
             peers,
         }
     }
 
-    /// Returns this router's own work, to tell the peers.
+    /// Returns this router's own load, to report it to the peers.
     pub fn report(&self) -> Vec<(ReplicaKey, Load)> {
-        self.own.iter().map(|(key, load)| (*key, *load)).collect()
+        self.local.iter().map(|(key, load)| (*key, *load)).collect()
     }
 }
--- a/crates/policy/src/placement/engine.rs
+++ b/crates/policy/src/placement/engine.rs
@@ -1,4 +1,4 @@
-//! What is known of an engine and of a prompt when a place is chosen.
+//! Engines and prompts, as placement sees them.
 
 use {
     super::{
@@ -11,20 +11,20 @@
 /// A part of a prompt, which engines cache by its id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Part {
-    /// Its id, the same for all requests that share it.
+    /// Its id, the same in all requests that share the part.
     pub id: u64,
     /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// A prompt and what it will cost.
+/// A prompt and its expected cost.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct Prompt {
-    /// Its parts in order; the last is the request's own.
+    /// Its parts in order; the last one belongs to this request alone.
     pub parts: Vec<Part>,
-    /// Its whole length in tokens.
+    /// Its total length in tokens.
     pub total: u32,
-    /// Tokens that will be generated, as far as it can be guessed.
+    /// Estimated number of tokens that will be generated.
     pub output: u32,
 }
 
@@ -33,44 +33,43 @@
 pub struct Candidate {
     /// Its id.
     pub id: ReplicaId,
-    /// Its short name.
+    /// Its key in messages between routers.
     pub key: ReplicaKey,
-    /// Requests that it runs at once.
+    /// Requests that it runs at the same time.
     pub slots: u32,
     /// Its memory in tokens.
     pub memory: u64,
-    /// Prompt tokens that it reads in a millisecond, as learnt.
+    /// Prompt tokens that it reads per millisecond, as measured so far.
     pub speed: f64,
-    /// Its work over the fleet.
+    /// Its load over the whole fleet.
     pub load: Load,
-    /// Added to its fullness, for one that fails often; 0 for a sound one.
+    /// Added to its fullness where it fails often; 0 for a healthy engine.
     pub penalty: f64,
     /// Whether it can copy cached parts from another engine.
     pub can_copy: bool,
-    /// When this router last sent it a request that shares the prompt's last shared part, in
-    /// seconds ago.
+    /// Seconds since this router last sent it a request with the same last shared part.
     pub cached_age_s: Option<f64>,
 }
 
 impl Prompt {
-    /// Returns the id that requests with the same cached parts have in common.
+    /// Returns the id by which requests with the same cached parts get the same preferred replicas.
     ///
-    /// The last part belongs to the request alone, so the part before it is taken, and where
-    /// there is only one, that one.
+    /// This is the id of the last shared part, since the last part belongs to the request alone. A
+    /// prompt of a single part uses that part.
     pub fn affinity_key(&self) -> Option<u64> {
         let shared = self.parts.len().saturating_sub(2);
         self.parts.get(shared).map(|p| p.id)
     }
 
-    /// Returns the tokens that others share.
+    /// Returns the number of tokens that other requests share.
     pub fn shared(&self) -> u32 {
-        let own = self.parts.last().map_or(0, |p| p.tokens);
+        let last = self.parts.last().map_or(0, |p| p.tokens);
         let all: u32 = self.parts.iter().map(|p| p.tokens).sum();
-        all.saturating_sub(own)
+        all.saturating_sub(last)
     }
 
-    /// Returns what it costs of the capacity that workspaces share: tokens read once, and
-    /// generated ones twice, as the configuration counts that capacity.
+    /// Returns the cost in terms of the capacity that workspaces share. The configuration counts
+    /// each token read once and each generated token twice.
     pub fn cost(&self) -> f64 {
         f64::from(self.total) + 2.0 * f64::from(self.output)
     }
--- a/crates/policy/src/placement/health.rs
+++ b/crates/policy/src/placement/health.rs
@@ -1,29 +1,29 @@
-//! Replicas that fail, are silent, or can't be reached.
+//! Replicas that fail, are silent or can't be reached.
 
 use crate::{
     Span,
     Time, //
 };
 
-/// How much of a new result goes into the part of failures: 10 results tell.
-const STEP: f64 = 0.1;
-/// First rest of a replica that could not be reached or fell silent. Doubled each time.
-const REST: Span = Span::millis(300);
-/// Longest rest, so that a replica that is back is found within this time.
-const REST_MAX: Span = Span::millis(2_400);
-/// Broken answers in a row after which a replica rests. Some replicas break one answer in
-/// forty and serve the rest; one that crashed breaks all it has.
-const BROKEN: u32 = 3;
-/// Part of failures above the service's usual from which it counts against a replica.
+/// Weight of a new result in the failure rate, which then reflects about the last 10 results.
+const SMOOTHING: f64 = 0.1;
+/// First backoff of a replica that could not be reached or fell silent. It doubles with each
+/// further failure.
+const BACKOFF_MIN: Span = Span::millis(300);
+/// Longest backoff, which bounds the time until a recovered replica gets requests.
+const BACKOFF_MAX: Span = Span::millis(2_400);
+/// Broken responses in a row after which a replica gets a backoff. Some replicas break one response
+/// in forty and serve the others; a crashed one breaks all of them.
+const BROKEN_LIMIT: u32 = 3;
+/// Failure rate in excess of the service's usual one from which a replica is penalized.
 ///
-/// Services fail some requests by themselves (up to one in seven was seen), evenly over
-/// their replicas.
-const ODD: f64 = 0.2;
-/// What each part of failures beyond that adds to a replica's fullness: one that fails half
-/// of its requests more than usual counts as 0.6 fuller.
-const WEIGHT: f64 = 2.0;
+/// Services fail some requests by themselves (up to one in seven), evenly over their replicas.
+const EXCESS_TOLERANCE: f64 = 0.2;
+/// Fullness that is added for each unit of failure rate beyond that: a replica whose failure rate
+/// is 0.5 above the usual one counts as 0.6 fuller.
+const PENALTY_WEIGHT: f64 = 2.0;
 
-/// What is known of one replica's answers.
+/// The recent results of one replica.
 ///
 /// # Examples
 ///
@@ -39,76 +39,77 @@
 #[derive(Debug, Clone, Default)]
 pub struct Health {
     failures: f64,
-    resting: Option<Time>,
-    rest: Span,
-    /// A request was let through to try it after a rest, and its result is not known.
-    trying: Option<Time>,
-    /// Broken answers since the last whole one.
+    backoff_until: Option<Time>,
+    backoff: Span,
+    /// When a probe request was sent after a backoff, if its result is not known yet.
+    probing_since: Option<Time>,
+    /// Broken responses since the last complete one.
     broken: u32,
 }
 
 impl Health {
-    /// Notes an answer, good or a failure of the replica's own.
+    /// Records a response: a success, or a failure that the replica reported itself.
     pub fn answered(&mut self, ok: bool) {
-        self.failures += (f64::from(u8::from(!ok)) - self.failures) * STEP;
-        self.resting = None;
-        self.trying = None;
+        self.failures += (f64::from(u8::from(!ok)) - self.failures) * SMOOTHING;
+        self.backoff_until = None;
+        self.probing_since = None;
         self.broken = 0;
         if ok {
-            self.rest = Span::ZERO;
+            self.backoff = Span::ZERO;
         }
     }
 
-    /// Notes that it broke off an answer, or sent one that can't be used.
+    /// Records that it aborted a response, or sent one that can't be used.
     pub fn broken(&mut self, now: Time) {
         self.broken += 1;
-        match self.broken >= BROKEN || self.resting.is_some() {
+        match self.broken >= BROKEN_LIMIT || self.backoff_until.is_some() {
             true => self.unreachable(now),
-            false => self.failures += (1.0 - self.failures) * STEP,
+            false => self.failures += (1.0 - self.failures) * SMOOTHING,
         }
     }
 
-    /// Notes that it could not be reached, or fell silent.
+    /// Records that it could not be reached, or fell silent.
     pub fn unreachable(&mut self, now: Time) {
-        self.failures += (1.0 - self.failures) * STEP;
-        // Many requests fail at once when a replica goes; they are one event.
-        if self.resting.is_some_and(|until| now < until) {
+        self.failures += (1.0 - self.failures) * SMOOTHING;
+        // Many requests fail at once when a replica goes down; they count as one event.
+        if self.backoff_until.is_some_and(|until| now < until) {
             return;
         }
-        let rest = if self.rest == Span::ZERO {
-            REST
+        let backoff = if self.backoff == Span::ZERO {
+            BACKOFF_MIN
         } else {
-            Span((self.rest.0 * 2).min(REST_MAX.0))
+            Span((self.backoff.0 * 2).min(BACKOFF_MAX.0))
         };
-        self.rest = rest;
-        self.resting = Some(now + rest);
-        self.trying = None;
+        self.backoff = backoff;
+        self.backoff_until = Some(now + backoff);
+        self.probing_since = None;
     }
 
-    /// Tells whether it may get a request. After a rest one is let through at a time.
+    /// Returns whether it may get a request. After a backoff it gets one probe request at a time.
     pub fn is_available(&self, now: Time) -> bool {
-        match (self.resting, self.trying) {
+        match (self.backoff_until, self.probing_since) {
             (None, _) => true,
             (Some(until), None) => now >= until,
-            // The request that tried it may have ended without a result.
-            (Some(_), Some(since)) => now.since(since) > REST_MAX,
+            // The probe may have ended without a result.
+            (Some(_), Some(since)) => now.since(since) > BACKOFF_MAX,
         }
     }
 
-    /// Notes that a request is sent to it.
+    /// Records that a request is sent to it.
     pub fn sent(&mut self, now: Time) {
-        if self.resting.is_some() {
-            self.trying = Some(now);
+        if self.backoff_until.is_some() {
+            self.probing_since = Some(now);
         }
     }
 
-    /// Returns the part of its answers that were failures.
+    /// Returns its failure rate.
     pub fn failures(&self) -> f64 {
         self.failures
     }
 
-    /// Returns what is added to its fullness, where it fails more than `usual` at its service.
+    /// Returns the fullness to add for failures, where `usual` is the usual failure rate of its
+    /// service.
     pub fn penalty(&self, usual: f64) -> f64 {
-        (self.failures - usual - ODD).max(0.0) * WEIGHT
+        (self.failures - usual - EXCESS_TOLERANCE).max(0.0) * PENALTY_WEIGHT
     }
 }
--- a/crates/policy/src/placement/latency.rs
+++ b/crates/policy/src/placement/latency.rs
@@ -1,4 +1,4 @@
-//! How long plain services take, learnt from their answers.
+//! Response times of plain services, learned from their responses.
 
 use {
     super::{
@@ -8,12 +8,12 @@
     crate::Span,
 };
 
-/// How much of a new sample goes into the mean: about 15 answers tell.
-const STEP: f64 = 0.07;
-/// Time of a replica while none has answered yet, in seconds.
-const UNKNOWN: f64 = 0.05;
+/// Weight of a new sample in the mean, which then reflects about the last 15 responses.
+const SMOOTHING: f64 = 0.07;
+/// Assumed time in seconds while no replica has responded yet.
+const DEFAULT_S: f64 = 0.05;
 
-/// The mean time that each replica of a plain service takes for a request.
+/// The mean response time of each replica of a plain service.
 ///
 /// # Examples
 ///
@@ -27,28 +27,28 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Latencies {
-    each: ReplicaMap<f64>,
+    means: ReplicaMap<f64>,
 }
 
-// A replica that has not answered yet counts as the quickest that is known. Taken for slower
-// it would never be tried while the others are idle enough.
+// A replica without samples counts as the fastest known one. If it counted as slower, it would get
+// no request as long as the others are idle enough.
 impl Latencies {
-    /// Notes how long an answer took.
+    /// Records the time that a response took.
     pub fn record(&mut self, replica: ReplicaKey, took: Span) {
         let known = self.of(replica);
-        let mean = self.each.entry(replica).or_insert(known);
-        *mean += (took.as_secs() - *mean) * STEP;
+        let mean = self.means.entry(replica).or_insert(known);
+        *mean += (took.as_secs() - *mean) * SMOOTHING;
     }
 
     /// Returns the mean time in seconds.
     pub fn of(&self, replica: ReplicaKey) -> f64 {
-        let known = self.each.get(&replica).copied();
-        let quickest = || self.each.values().copied().reduce(f64::min);
-        known.or_else(quickest).unwrap_or(UNKNOWN)
+        let known = self.means.get(&replica).copied();
+        let quickest = || self.means.values().copied().reduce(f64::min);
+        known.or_else(quickest).unwrap_or(DEFAULT_S)
     }
 
-    /// Forgets replicas that are gone.
+    /// Drops the replicas for which `live` is false.
     pub fn retain(&mut self, live: impl Fn(ReplicaKey) -> bool) {
-        self.each.retain(|key, _| live(*key));
+        self.means.retain(|key, _| live(*key));
     }
 }
--- a/crates/policy/src/placement/mod.rs
+++ b/crates/policy/src/placement/mod.rs
@@ -1,9 +1,9 @@
-//! Where a request goes, or whether it is refused at once.
+//! Placement: which replica gets a request, or whether it is rejected at once.
 //!
-//! Every router decides alone, from its own requests and what its peers last told of theirs,
-//! so that a decision costs no round trip. [`Board`] adds these up, [`Health`] tells replicas
-//! that fail or are silent, [`Speeds`] learns how fast engines read prompts, and [`pick`]
-//! and [`pick_plain`] choose.
+//! Each router decides by itself, from its own requests and the latest reports of its peers, so a
+//! decision needs no round trip. [`Board`] sums up the load, [`Health`] detects replicas that fail
+//! or are silent, [`Speeds`] learns how fast engines read prompts, and [`pick`] and [`pick_plain`]
+//! choose.
 
 mod board;
 mod engine;
--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -18,59 +18,59 @@
     std::fmt,
 };
 
-/// Time to the first event beside reading, in milliseconds.
-const BASE_MS: f64 = 40.0;
-/// Longest time after which a refused request may come back, in milliseconds.
-const AGAIN_MS: f64 = 2_000.0;
+/// Time to the first event that is not spent on reading, in milliseconds.
+const OVERHEAD_MS: f64 = 40.0;
+/// Longest retry delay of a rejected request, in milliseconds.
+const RETRY_MAX_MS: f64 = 2_000.0;
 
-/// What is asked for.
+/// A request that needs an engine.
 #[derive(Debug, Clone)]
 pub struct PlacementRequest<'a> {
     /// The prompt.
     pub prompt: &'a Prompt,
-    /// What it has of its answer.
+    /// Whether its caller has the start of the answer.
     pub answer: AnswerState,
-    /// The time to the first event that is aimed at.
+    /// Target for the time to the first event.
     pub target: Span,
-    /// The shortest such time among all requests to these engines.
+    /// The shortest target among all requests to these engines.
     pub shortest_target: Span,
-    /// What its workspace had of late, against its fair share.
+    /// Recent usage of its workspace against its fair share.
     pub usage: UsageStanding,
-    /// Time between two words of a peer on what it sent to each engine.
+    /// Time between two load reports of a peer.
     pub load_interval: Span,
-    /// How the choice is weighed.
+    /// The weights of the choice.
     pub tuning: &'a Tuning,
 }
 
-/// Where a request goes.
+/// The replica that a request is sent to.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Choice {
     /// The replica.
     pub replica: ReplicaId,
-    /// Its short name.
+    /// Its key in messages between routers.
     pub key: ReplicaKey,
-    /// Prompt tokens that it will read.
+    /// Prompt tokens that it will have to read for this request.
     pub uncached: u32,
-    /// Tokens that it has to read in all before the first event, this prompt included.
+    /// Tokens that it has to read before the first event, including this prompt.
     pub unread: u64,
-    /// The replica that it can copy the prompt's shared parts from.
+    /// The replica that it can copy the shared parts of the prompt from.
     pub source: Option<ReplicaId>,
 }
 
-/// Why an engine does not take a request.
+/// The limit because of which an engine doesn't take a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Bound {
-    /// Places for requests.
+    /// Its slots.
     Slots,
-    /// Memory.
+    /// Its memory.
     Memory,
-    /// Time, as others' prompts are to be read first.
+    /// Time to read the prompts of earlier requests.
     Backlog,
-    /// Time, as the prompt itself takes long to read.
+    /// Time to read the prompt itself.
     Reading,
-    /// It has failed more requests than is usual, and counts as fuller than it is.
+    /// It has failed more requests than usual, and therefore counts as fuller than it is.
     Failures,
-    /// It is not known, or nothing is there.
+    /// Unknown, or there is no engine.
     None,
 }
 
@@ -87,18 +87,18 @@
     }
 }
 
-/// What was decided.
+/// The decision for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Pick {
-    /// It is sent to this replica.
+    /// Send it to this replica.
     Run(Choice),
-    /// It is refused, as it would be late or push others out.
+    /// Reject it, as it would be late or displace others.
     Refuse {
-        /// When a place is likely.
+        /// When a slot is likely to be free.
         retry_after: Span,
-        /// How full the best of its homes is.
+        /// Fullness of the least full preferred replica.
         fullness: f64,
-        /// Why that engine does not take it.
+        /// The limit because of which that replica doesn't take it.
         bound: Bound,
     },
 }
@@ -106,65 +106,72 @@
 struct Rated<'a> {
     engine: &'a Candidate,
     uncached: u32,
-    /// How full the engine is with the request.
-    full: Fullness,
-    /// The larger of the places.
-    place: Bound,
-    /// Time to read all that stands before the first event, in milliseconds.
-    wait: f64,
+    /// Fullness of the engine with this request.
+    fullness: Fullness,
+    /// Whether slots or memory determine the occupancy.
+    occupancy_bound: Bound,
+    /// Time to read everything before the first event, in milliseconds.
+    wait_ms: f64,
     cost: f64,
 }
 
-/// Chooses an engine for a prompt, or refuses it.
+/// Chooses an engine for a prompt, or rejects it.
 ///
-/// The load is many long prompts that share parts, beyond what the engines can read. A
-/// request goes to one of two engines that have its parts cached, the same at all routers,
-/// whichever is expected to read it first; elsewhere only where an engine is half idle. Once
-/// a free place anywhere is taken, each request finds nothing cached, and reading eats the
-/// engines.
+/// The expected load is many long prompts that share parts, and more of them than the engines can
+/// read. A request goes to one of two preferred replicas that have its parts cached, the same ones
+/// at all routers, whichever is expected to read it first. It goes elsewhere only if an engine is
+/// half idle: if any free slot would do, requests would find nothing cached, and reading would take
+/// up the engines.
 ///
-/// A stream that has begun was let through once, and refusing it would throw away what its caller
-/// has. It goes where it waits least.
-pub fn pick(engines: &[Candidate], wish: &PlacementRequest<'_>) -> Pick {
-    let home = wish.prompt.affinity_key().unwrap_or_default();
-    let rated: Vec<Rated<'_>> = rendezvous::of_hash(home, engines, |e| e.id.as_str())
+/// A stream that has started was admitted once, and rejecting it would waste what its caller
+/// already has. It goes to the engine with the shortest queue.
+pub fn pick(engines: &[Candidate], request: &PlacementRequest<'_>) -> Pick {
+    let affinity_key = request.prompt.affinity_key().unwrap_or_default();
+    let rated: Vec<Rated<'_>> = rendezvous::of_hash(affinity_key, engines, |e| e.id.as_str())
         .into_iter()
         .enumerate()
-        .map(|(rank, engine)| rate(engine, rank, wish))
+        .map(|(rank, engine)| rate(engine, rank, request))
         .collect();
-    if wish.answer == AnswerState::Started {
+    if request.answer == AnswerState::Started {
         if let Some(best) = shortest_queue(&rated) {
-            return Pick::Run(chosen(&rated, best));
+            return Pick::Run(choice_of(&rated, best));
         }
     }
-    let tuning = wish.tuning;
-    let limit = tuning.limit(wish.usage, wish.load_interval);
-    let (homes, others) = rated.split_at(tuning.homes.min(rated.len()));
-    if let Some(best) = cheapest(&rated, homes, limit) {
+    let tuning = request.tuning;
+    let limit = tuning.limit(request.usage, request.load_interval);
+    let (preferred, others) = rated.split_at(tuning.preferred_replicas.min(rated.len()));
+    if let Some(best) = cheapest(&rated, preferred, limit) {
         return Pick::Run(best);
     }
-    if let Some(best) = cheapest(&rated, others, tuning.spare(wish.usage, wish.load_interval)) {
+    if let Some(best) = cheapest(
+        &rated,
+        others,
+        tuning.spill_limit(request.usage, request.load_interval),
+    ) {
         return Pick::Run(best);
     }
-    let least = homes
+    let least = preferred
         .iter()
-        .min_by(|a, b| a.full.most().total_cmp(&b.full.most()));
+        .min_by(|a, b| a.fullness.highest().total_cmp(&b.fullness.highest()));
     Pick::Refuse {
-        retry_after: after(homes, wish),
-        fullness: least.map_or(0.0, |r| r.full.most()),
+        retry_after: retry_after(preferred, request),
+        fullness: least.map_or(0.0, |r| r.fullness.highest()),
         bound: least.map_or(Bound::None, |r| r.exceeds(limit)),
     }
 }
 
 impl Rated<'_> {
-    /// Returns which limit the engine exceeds most. Where it exceeds none but for its failures, these
-    /// are the reason.
+    /// Returns the limit that the engine exceeds most, or [`Bound::Failures`] if it exceeds a limit
+    /// only because of its penalty.
     fn exceeds(&self, limit: Fullness) -> Bound {
         let penalty = self.engine.penalty;
         let parts = [
-            (self.full.places - limit.places, self.place),
-            (self.full.backlog - limit.backlog, Bound::Backlog),
-            (self.full.own - limit.own, Bound::Reading),
+            (
+                self.fullness.occupancy - limit.occupancy,
+                self.occupancy_bound,
+            ),
+            (self.fullness.backlog - limit.backlog, Bound::Backlog),
+            (self.fullness.reading - limit.reading, Bound::Reading),
         ];
         let most = parts.into_iter().max_by(|a, b| a.0.total_cmp(&b.0));
         match most {
@@ -177,10 +184,10 @@
 
 /// Returns the engine that most likely has the shared parts that `best` lacks.
 ///
-/// A router knows only of what it sent itself, and the first request of a part may have gone to
-/// either home through any router. Where it knows of none, the other home is asked: that costs
-/// an engine far less time than reading the parts anew.
-fn source(rated: &[Rated<'_>], best: &Rated<'_>) -> Option<ReplicaId> {
+/// A router only knows of its own requests, and the first request with a part may have gone to
+/// either preferred replica through any router. If it knows of none, the other preferred replica is
+/// asked, which takes an engine far less time than reading the parts again.
+fn copy_source(rated: &[Rated<'_>], best: &Rated<'_>) -> Option<ReplicaId> {
     let used = rated.iter().filter(|r| r.engine.cached_age_s.is_some());
     let last = used.min_by(|a, b| {
         let ago = |r: &Rated<'_>| r.engine.cached_age_s.unwrap_or(f64::MAX);
@@ -195,75 +202,75 @@
         .map(|r| r.engine.id.clone())
 }
 
-fn rate<'a>(engine: &'a Candidate, rank: usize, wish: &PlacementRequest<'_>) -> Rated<'a> {
-    let (prompt, tuning) = (wish.prompt, wish.tuning);
+fn rate<'a>(engine: &'a Candidate, rank: usize, request: &PlacementRequest<'_>) -> Rated<'a> {
+    let (prompt, tuning) = (request.prompt, request.tuning);
     let cached = rank == 0 || engine.cached_age_s.is_some_and(|s| s < tuning.cached_s);
     let missing = if cached { 0 } else { prompt.shared() };
-    // Copied from another engine, shared parts are there in a fraction of the time.
-    let again = if engine.can_copy { 0 } else { missing };
-    let copied = f64::from(missing - again) * tuning.copy_cost;
-    let uncached = prompt.total.saturating_sub(prompt.shared()) + again;
+    // Shared parts that are copied from another engine take a fraction of the time.
+    let reread = if engine.can_copy { 0 } else { missing };
+    let copied = f64::from(missing - reread) * tuning.copy_cost;
+    let uncached = prompt.total.saturating_sub(prompt.shared()) + reread;
     let load = engine.load;
-    let wait = (load.unread as f64 + f64::from(uncached)) / engine.speed;
-    let target = (wish.target.as_secs() * 1e3 - BASE_MS).max(1.0);
+    let wait_ms = (load.unread as f64 + f64::from(uncached)) / engine.speed;
+    let target = (request.target.as_secs() * 1e3 - OVERHEAD_MS).max(1.0);
     let slots = f64::from(load.running + 1) / (f64::from(engine.slots.max(1)) * tuning.slots);
     let need = load.memory + u64::from(prompt.total + prompt.output);
     let memory = need as f64 / (engine.memory.max(1) as f64 * tuning.memory);
-    // What stands before this request stands before the next one too, whose target may be
+    // What is queued before this request is also queued before the next one, whose target may be
     // shorter.
-    let shortest = (wish.shortest_target.as_secs() * 1e3 - BASE_MS).max(1.0);
-    let before = load.unread as f64 / engine.speed / shortest;
+    let shortest = (request.shortest_target.as_secs() * 1e3 - OVERHEAD_MS).max(1.0);
+    let queued = load.unread as f64 / engine.speed / shortest;
     // A prompt that takes long to read by itself is late at any engine.
-    let own = tuning.own * wait / target;
-    let full = Fullness {
-        places: slots.max(memory) + engine.penalty,
-        backlog: before + engine.penalty,
-        own: own + engine.penalty,
+    let reading = tuning.reading_weight * wait_ms / target;
+    let fullness = Fullness {
+        occupancy: slots.max(memory) + engine.penalty,
+        backlog: queued + engine.penalty,
+        reading: reading + engine.penalty,
     };
-    let place = match slots >= memory {
+    let occupancy_bound = match slots >= memory {
         true => Bound::Slots,
         false => Bound::Memory,
     };
-    let cost = wait + (tuning.again_cost * f64::from(again) + copied) / engine.speed;
+    let cost = wait_ms + (tuning.reread_cost * f64::from(reread) + copied) / engine.speed;
     Rated {
         engine,
         uncached,
-        full,
-        place,
-        wait,
+        fullness,
+        occupancy_bound,
+        wait_ms,
         cost,
     }
 }
 
 fn cheapest(all: &[Rated<'_>], among: &[Rated<'_>], limit: Fullness) -> Option<Choice> {
-    let fits = among.iter().filter(|r| r.full.within(limit));
+    let fits = among.iter().filter(|r| r.fullness.within(limit));
     let best = fits.min_by(|a, b| a.cost.total_cmp(&b.cost))?;
-    Some(chosen(all, best))
+    Some(choice_of(all, best))
 }
 
-/// Returns the engine at which fewest requests wait for a place, the cheapest of several.
+/// Returns the engine with the fewest requests waiting for a slot, and the cheapest one of several.
 fn shortest_queue<'a, 'b>(rated: &'b [Rated<'a>]) -> Option<&'b Rated<'a>> {
-    let queue = |r: &Rated<'_>| (r.full.places - 1.0).max(0.0);
+    let queue = |r: &Rated<'_>| (r.fullness.occupancy - 1.0).max(0.0);
     rated.iter().min_by(|a, b| {
         let by_queue = queue(a).total_cmp(&queue(b));
         by_queue.then(a.cost.total_cmp(&b.cost))
     })
 }
 
-fn chosen(all: &[Rated<'_>], best: &Rated<'_>) -> Choice {
+fn choice_of(all: &[Rated<'_>], best: &Rated<'_>) -> Choice {
     Choice {
         replica: best.engine.id.clone(),
         key: best.engine.key,
         uncached: best.uncached,
         unread: best.engine.load.unread + u64::from(best.uncached),
-        source: source(all, best),
+        source: copy_source(all, best),
     }
 }
 
-/// Returns when a place at a home is likely: once what is to be read before has been read.
-fn after(homes: &[Rated<'_>], wish: &PlacementRequest<'_>) -> Span {
-    let least = homes.iter().map(|r| r.wait).fold(f64::MAX, f64::min);
-    let least = if homes.is_empty() { 0.0 } else { least };
-    let ms = least * wish.usage.share.clamp(1.0, 4.0);
-    Span::millis(ms.clamp(wish.tuning.again_ms, AGAIN_MS) as u64)
+/// Returns when a slot at a preferred replica is likely to be free: once its backlog has been read.
+fn retry_after(preferred: &[Rated<'_>], request: &PlacementRequest<'_>) -> Span {
+    let least = preferred.iter().map(|r| r.wait_ms).fold(f64::MAX, f64::min);
+    let least = if preferred.is_empty() { 0.0 } else { least };
+    let ms = least * request.usage.share.clamp(1.0, 4.0);
+    Span::millis(ms.clamp(request.tuning.retry_ms, RETRY_MAX_MS) as u64)
 }
--- a/crates/policy/src/placement/plain.rs
+++ b/crates/policy/src/placement/plain.rs
@@ -15,79 +15,83 @@
     },
 };
 
-/// Requests for each slot from which a replica counts as full.
+/// Requests per slot from which a replica counts as full.
 ///
-/// A request behind two others for each slot waits twice the usual time, which is within
-/// most latency targets; what comes beyond would be shed by the replica itself, and each
-/// shed request is a wasted send.
-const FULL: f64 = 2.5;
-/// What another availability zone adds to the expected time, in seconds: there and back.
-const FAR_S: f64 = 0.003;
-/// Part of its mean time that an idle replica is expected to take, so that the quicker one of
-/// two idle ones is told.
-const IDLE_PART: f64 = 0.3;
-/// Multiples of the expected time that a penalty of 1 adds: one that always fails comes after
-/// sound ones with four times its work.
-const PENALTY: f64 = 4.0;
-/// When a request that finds all replicas full may come back.
-const AGAIN: Span = Span::millis(150);
+/// A request behind two others per slot takes about twice the usual time, which is within most
+/// latency targets. The replica itself would shed anything beyond, and sending a request that is
+/// shed is wasted work.
+const FULL_FACTOR: f64 = 2.5;
+/// Time that another availability zone adds to the expected time, in seconds: one round trip.
+const CROSS_ZONE_S: f64 = 0.003;
+/// Fraction of its mean time that is expected of an idle replica, so that the faster one of two
+/// idle replicas wins.
+const IDLE_FACTOR: f64 = 0.3;
+/// Weight of the penalty in the expected time: a replica that always fails is chosen only after
+/// healthy ones with about four times its load.
+const PENALTY_WEIGHT: f64 = 4.0;
+/// Retry delay when all replicas are full.
+const RETRY_DELAY: Span = Span::millis(150);
 
 /// A replica of a plain service that may take the request.
 #[derive(Debug, Clone)]
 pub struct PlainCandidate {
     /// Its id.
     pub id: ReplicaId,
-    /// Its short name.
+    /// Its key in messages between routers.
     pub key: ReplicaKey,
-    /// Requests that it works on at once.
+    /// Requests that it runs at the same time.
     pub slots: u32,
-    /// Its work over the fleet.
+    /// Its load over the whole fleet.
     pub load: Load,
-    /// Mean time of its answers, in seconds.
+    /// Mean time of its responses, in seconds.
     pub mean_latency_s: f64,
-    /// Whether it stands in this router's availability zone.
+    /// Whether it is in this router's availability zone.
     pub same_zone: bool,
-    /// Part added to its expected time, for one that fails often; 0 for a sound one.
+    /// Penalty on its expected time where it fails often; 0 for a healthy replica.
     pub penalty: f64,
 }
 
-/// Chooses the replica that is expected to answer first, or refuses a new request where all are
-/// full.
+/// Chooses the replica that is expected to respond first, or rejects a new request if all are full.
 ///
-/// The expected time is the replica's mean time, stretched by the work that stands before
-/// the request. `roll` decides between equal ones, so that routers which see the same don't
-/// all choose the same.
-pub fn pick_plain(servers: &[PlainCandidate], claim: AnswerState, roll: u64) -> Pick {
+/// The expected time is the replica's mean time, scaled by its queue. `roll` breaks ties, so that
+/// routers with the same view don't all choose the same replica.
+pub fn pick_plain(candidates: &[PlainCandidate], answer: AnswerState, roll: u64) -> Pick {
     let mut best: Option<(f64, &PlainCandidate)> = None;
-    let start = roll as usize % servers.len().max(1);
-    for server in servers.iter().cycle().skip(start).take(servers.len()) {
-        let full = f64::from(server.load.running) >= f64::from(server.slots) * FULL;
-        if full && claim == AnswerState::NotStarted {
+    let start = roll as usize % candidates.len().max(1);
+    for candidate in candidates.iter().cycle().skip(start).take(candidates.len()) {
+        let full = f64::from(candidate.load.running) >= f64::from(candidate.slots) * FULL_FACTOR;
+        if full && answer == AnswerState::NotStarted {
             continue;
         }
-        let expected = expected(server);
+        let expected = expected(candidate);
         if best.is_none_or(|(least, _)| expected < least) {
-            best = Some((expected, server));
+            best = Some((expected, candidate));
         }
     }
     match best {
-        Some((_, server)) => Pick::Run(Choice {
-            replica: server.id.clone(),
-            key: server.key,
+        Some((_, candidate)) => Pick::Run(Choice {
+            replica: candidate.id.clone(),
+            key: candidate.key,
             uncached: 0,
             unread: 0,
             source: None,
         }),
         None => Pick::Refuse {
-            retry_after: AGAIN,
+            retry_after: RETRY_DELAY,
             fullness: 1.0,
             bound: Bound::Slots,
         },
     }
 }
 
-fn expected(server: &PlainCandidate) -> f64 {
-    let queued = f64::from(server.load.running) / f64::from(server.slots.max(1));
-    let far = if server.same_zone { 0.0 } else { FAR_S };
-    (server.mean_latency_s + far) * (IDLE_PART + queued) * (1.0 + PENALTY * server.penalty)
+fn expected(candidate: &PlainCandidate) -> f64 {
+    let queued = f64::from(candidate.load.running) / f64::from(candidate.slots.max(1));
+    let zone_delay = if candidate.same_zone {
+        0.0
+    } else {
+        CROSS_ZONE_S
+    };
+    (candidate.mean_latency_s + zone_delay)
+        * (IDLE_FACTOR + queued)
+        * (1.0 + PENALTY_WEIGHT * candidate.penalty)
 }
--- a/crates/policy/src/placement/speed.rs
+++ b/crates/policy/src/placement/speed.rs
@@ -1,4 +1,4 @@
-//! How fast engines read prompts, learnt from the time to the first event.
+//! How fast engines read prompts, learned from the time to the first event.
 
 use {
     super::{
@@ -8,17 +8,16 @@
     crate::Span,
 };
 
-/// Speed of an engine that is not known yet, in tokens a millisecond: between the two that
-/// were seen (82 and 157 with nothing else to do).
-const UNKNOWN: f64 = 90.0;
-/// Slowest and fastest that are believed, in tokens a millisecond.
-const RANGE: (f64, f64) = (4.0, 400.0);
-/// How much of a new sample goes into the mean.
-const STEP: f64 = 0.05;
-/// Samples of fewer unread tokens tell of the network and the generation, not of reading.
-const LEAST: u64 = 3_000;
-/// Time from sending to the first event that is not reading: network, a step, its token.
-const BASE_MS: f64 = 25.0;
+/// Assumed speed of an unknown engine, in tokens per millisecond. Idle engines read 82 to 157.
+const DEFAULT_SPEED: f64 = 90.0;
+/// Lowest and highest plausible speed, in tokens per millisecond; samples are clamped to it.
+const SPEED_RANGE: (f64, f64) = (4.0, 400.0);
+/// Weight of a new sample in the mean.
+const SMOOTHING: f64 = 0.05;
+/// Samples with fewer unread tokens depend on the network and on generation more than on reading.
+const SAMPLE_MIN_TOKENS: u64 = 3_000;
+/// Time to the first event that is not spent on reading: network, one engine step and its token.
+const OVERHEAD_MS: f64 = 25.0;
 
 /// The reading speed of each engine.
 ///
@@ -36,33 +35,34 @@
 /// ```
 #[derive(Debug, Default)]
 pub struct Speeds {
-    each: ReplicaMap<f64>,
+    speeds: ReplicaMap<f64>,
     mean: Option<f64>,
 }
 
 impl Speeds {
-    /// Notes a first event that came `took` after its request was sent, when the replica had
-    /// `unread` tokens to read, the request's own included.
+    /// Records that the first event of a request arrived `took` after it was sent, when the replica
+    /// had `unread` tokens to read, including those of this request.
     pub fn record(&mut self, replica: ReplicaKey, unread: u64, took: Span) {
-        if unread < LEAST {
+        if unread < SAMPLE_MIN_TOKENS {
             return;
         }
-        let ms = (took.as_secs() * 1e3 - BASE_MS).max(1.0);
-        let sample = (unread as f64 / ms).clamp(RANGE.0, RANGE.1);
+        let ms = (took.as_secs() * 1e3 - OVERHEAD_MS).max(1.0);
+        let sample = (unread as f64 / ms).clamp(SPEED_RANGE.0, SPEED_RANGE.1);
         let known = self.of(replica);
-        let mean = self.mean.get_or_insert(UNKNOWN);
-        *mean += (sample - *mean) * STEP / 4.0;
-        self.each.insert(replica, known + (sample - known) * STEP);
+        let mean = self.mean.get_or_insert(DEFAULT_SPEED);
+        *mean += (sample - *mean) * SMOOTHING / 4.0;
+        self.speeds
+            .insert(replica, known + (sample - known) * SMOOTHING);
     }
 
-    /// Returns an engine's speed in tokens a millisecond.
+    /// Returns the speed of an engine in tokens per millisecond.
     pub fn of(&self, replica: ReplicaKey) -> f64 {
-        let known = self.each.get(&replica).copied();
-        known.or(self.mean).unwrap_or(UNKNOWN)
+        let known = self.speeds.get(&replica).copied();
+        known.or(self.mean).unwrap_or(DEFAULT_SPEED)
     }
 
-    /// Forgets engines that are gone.
+    /// Drops the engines for which `live` is false.
     pub fn retain(&mut self, live: impl Fn(ReplicaKey) -> bool) {
-        self.each.retain(|key, _| live(*key));
+        self.speeds.retain(|key, _| live(*key));
     }
 }
--- a/crates/policy/src/placement/tuning.rs
+++ b/crates/policy/src/placement/tuning.rs
@@ -1,4 +1,4 @@
-//! How the choice among engines is weighed.
+//! The weights of the choice among engines.
 
 use {
     crate::{
@@ -8,10 +8,10 @@
     serde::Deserialize, //
 };
 
-/// The time between two messages of peers at which yielding counts once.
-const WORDS: Span = Span::millis(100);
+/// Load report interval at which the penalties for excess requests apply once.
+const BASE_LOAD_INTERVAL: Span = Span::millis(100);
 
-/// How the choice among engines is weighed. Settings may give other values than these.
+/// The weights of the choice among engines. Settings may override these defaults.
 ///
 /// # Examples
 ///
@@ -19,166 +19,180 @@
 /// use policy::{placement::Tuning, quota::UsageStanding, Span};
 ///
 /// let tuning = Tuning::default();
-/// let words = Span::millis(100);
+/// let load_interval = Span::millis(100);
 /// let at = |share| UsageStanding { share, ..UsageStanding::default() };
-/// assert!(tuning.limit(at(2.0), words).places < tuning.limit(at(0.5), words).places);
+/// assert!(tuning.limit(at(2.0), load_interval).occupancy < tuning.limit(at(0.5), load_interval).occupancy);
 /// ```
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
 pub struct Tuning {
-    /// How many engines a prompt's shared parts are kept at.
-    pub homes: usize,
-    /// A part is taken as cached where it was used this recently, in seconds.
+    /// Number of engines that keep the shared parts of a prompt.
+    #[serde(rename = "homes")]
+    pub preferred_replicas: usize,
+    /// A part counts as cached if it was used within this time, in seconds.
     pub cached_s: f64,
-    /// What reading shared tokens again counts, relative to reading tokens for the first time.
+    /// Cost of reading shared tokens again, relative to reading tokens for the first time.
     ///
-    /// It takes the same time of the engine, and besides pushes other parts out of its cache.
-    pub again_cost: f64,
-    /// The same for shared tokens that are copied from another engine.
+    /// It takes the engine the same time, and also evicts other parts from its cache.
+    #[serde(rename = "again-cost")]
+    pub reread_cost: f64,
+    /// Cost of shared tokens that are copied from another engine, on the same scale.
     pub copy_cost: f64,
-    /// Fullness up to which any engine takes a request whose homes are full. An engine that
-    /// is half idle loses nothing by reading the shared parts anew.
-    pub spare: f64,
-    /// The same for a workspace within its fair share, which then finds a place anywhere
-    /// before one that floods finds a second.
-    pub spare_within: f64,
-    /// Fullness at which a workspace within its fair share is refused.
+    /// Fullness up to which any engine takes a request whose preferred replicas are full. An engine
+    /// that is half idle loses nothing by reading the shared parts again.
+    #[serde(rename = "spare")]
+    pub spill_limit: f64,
+    /// The same for a workspace within its fair share, so that it finds a slot anywhere before a
+    /// workspace that floods finds a second one.
+    #[serde(rename = "spare-within")]
+    pub spill_within: f64,
+    /// Fullness from which requests of a workspace within its fair share are rejected.
     pub full: f64,
-    /// Part of its slots and its memory up to which an engine takes requests of a workspace
-    /// that had far more than its share. Each request that runs slows the tokens of all others.
+    /// Occupancy of slots and memory up to which an engine takes requests of a workspace far beyond
+    /// its share. Each running request slows the tokens of all others.
     pub full_over: f64,
-    /// The same for the time until the engine has read what others sent before, as a part of
-    /// the shortest latency target. Engines admit in the order of arrival: what a flood puts
-    /// there is read before, or in turns with, the next request of somebody who keeps to their
-    /// share.
+    /// The same limit for the time to read earlier prompts, as a fraction of the shortest latency
+    /// target. Engines admit requests in order of arrival, so a flood's prompts are read before, or
+    /// in turns with, the next request of a workspace within its share.
     pub backlog_over: f64,
-    /// The same for the time until the request itself is read, as a part of its own target. One
-    /// long prompt of a flood holds up an engine for as long as forty short ones.
-    pub own_over: f64,
-    /// The same for a request within its workspace's even part of what there is. Bounded like the
-    /// others, a workspace of long prompts gets less than half of what one of short prompts gets,
-    /// in tokens.
-    pub own_even: f64,
-    /// Multiple of its fair share at which a workspace's bound begins to fall.
+    /// The same limit for the time until the request itself is read, as a fraction of its own
+    /// target. One long prompt of a flood blocks an engine as long as forty short ones.
+    #[serde(rename = "own-over")]
+    pub reading_over: f64,
+    /// The same limit for a request within its workspace's max-min share. With the limit above, a
+    /// workspace of long prompts would get less than half as many tokens as one of short prompts.
+    #[serde(rename = "own-even")]
+    pub reading_even: f64,
+    /// Multiple of its fair share from which a workspace's limits begin to fall.
     pub over_from: f64,
-    /// The multiple at which it has fallen to the least.
+    /// Multiple of its fair share at which its limits have fallen to the lowest value.
     pub over_to: f64,
-    /// How much lower the bound is for a request beyond its workspace's even part of all that
-    /// was given, so that others over their shares find places first.
-    pub yields: f64,
-    /// How far beyond an even part a request stands where it is lower by all of that.
-    pub uneven: f64,
-    /// How much lower still it is for a request that stands [`Tuning::far`] even parts out.
+    /// How much lower the limits are for a request beyond its workspace's max-min share, so that
+    /// other workspaces over their shares find slots first.
+    #[serde(rename = "yields")]
+    pub excess_penalty: f64,
+    /// How far beyond one max-min share a request gets this whole penalty.
+    #[serde(rename = "uneven")]
+    pub excess_range: f64,
+    /// Additional penalty for a request at [`Tuning::tail_end`] max-min shares.
     ///
-    /// As many requests of each workspace stand within any number of even parts, so a bound
-    /// that goes on falling gives each the same. A level one would give what is left to who asks
-    /// most often.
-    pub yields_far: f64,
-    /// Even parts at which it has fallen by all of that.
-    pub far: f64,
-    /// What a request's own reading counts of its latency target, relative to what stands
-    /// before it.
-    pub own: f64,
-    /// Part of the slots that the fleet fills.
+    /// Each workspace has about as many requests within any given number of max-min shares, so
+    /// limits that keep falling treat them equally. A constant limit would leave the remaining
+    /// capacity to whoever sends most requests.
+    #[serde(rename = "yields-far")]
+    pub tail_penalty: f64,
+    /// Multiple of the max-min share at which the additional penalty is complete.
+    #[serde(rename = "far")]
+    pub tail_end: f64,
+    /// Weight of a request's own reading time against its latency target, relative to its backlog.
+    #[serde(rename = "own")]
+    pub reading_weight: f64,
+    /// Fraction of the slots that the fleet fills.
     pub slots: f64,
-    /// Shortest time after which a refused request may come back, in milliseconds. Within it
-    /// some places fall free, and the request can still be in time.
-    pub again_ms: f64,
-    /// Part of an engine's memory that the fleet fills. What is left holds cached parts.
+    /// Shortest retry delay of a rejected request, in milliseconds. Some slots become free within
+    /// it, and the request can still be on time.
+    #[serde(rename = "again-ms")]
+    pub retry_ms: f64,
+    /// Fraction of an engine's memory that the fleet fills. The rest holds cached parts.
     pub memory: f64,
 }
 
 impl Default for Tuning {
     fn default() -> Tuning {
         Tuning {
-            homes: 2,
+            preferred_replicas: 2,
             cached_s: 20.0,
-            again_cost: 1.5,
+            reread_cost: 1.5,
             copy_cost: 0.2,
-            spare: 0.3,
-            spare_within: 0.6,
+            spill_limit: 0.3,
+            spill_within: 0.6,
             full: 1.2,
             full_over: 0.6,
             backlog_over: 0.2,
-            own_over: 0.2,
-            own_even: 0.55,
+            reading_over: 0.2,
+            reading_even: 0.55,
             over_from: 0.9,
             over_to: 1.6,
-            yields: 0.15,
-            uneven: 0.4,
-            yields_far: 0.1,
-            far: 4.0,
-            own: 1.0,
+            excess_penalty: 0.15,
+            excess_range: 0.4,
+            tail_penalty: 0.1,
+            tail_end: 4.0,
+            reading_weight: 1.0,
             slots: 1.0,
-            again_ms: 50.0,
+            retry_ms: 50.0,
             memory: 0.85,
         }
     }
 }
 
 impl Tuning {
-    /// Returns up to which fullness engines that are no homes take a workspace's requests.
-    pub fn spare(&self, standing: UsageStanding, words: Span) -> Fullness {
-        let limit = self.limit(standing, words);
-        let spare = match standing.share < self.over_from {
-            true => self.spare_within,
-            false => self.spare,
+    /// Returns the fullness up to which engines other than the preferred replicas take requests of
+    /// a workspace.
+    pub fn spill_limit(&self, standing: UsageStanding, load_interval: Span) -> Fullness {
+        let limit = self.limit(standing, load_interval);
+        let spill = match standing.share < self.over_from {
+            true => self.spill_within,
+            false => self.spill_limit,
         };
         Fullness {
-            places: limit.places.min(spare),
-            backlog: limit.backlog.min(spare),
-            own: limit.own.min(spare),
+            occupancy: limit.occupancy.min(spill),
+            backlog: limit.backlog.min(spill),
+            reading: limit.reading.min(spill),
         }
     }
 
-    /// Returns up to which fullness a workspace's requests are taken.
+    /// Returns the fullness up to which requests of a workspace are taken.
     ///
-    /// One that floods is refused first, while those within their share still find a place.
-    /// Of several that are over their shares, requests beyond an even part of what there is are
-    /// refused before the others: whoever asks most often finds most places otherwise. Beyond
-    /// its even part a request counts as one of a workspace that floods, whatever it was given:
-    /// with bounds so low it may have been given little, and would find the places of those
-    /// who ask for little.
+    /// A workspace that floods is rejected first, while those within their share still find slots.
+    /// Among several workspaces over their shares, requests beyond the max-min share are rejected
+    /// first, as otherwise whoever sends most requests would get most slots. Such a request counts
+    /// as part of a flood even if its workspace was served little: with limits this low it may well
+    /// have been served little, and would take the slots of workspaces that ask for little.
     ///
-    /// `words` is the time between two messages of a peer. Routers do not see what others sent since
-    /// these, and with all at once an engine that looks idle gets many times what it can take. The
-    /// later the messages, the more a request beyond its even part yields.
-    pub fn limit(&self, standing: UsageStanding, words: Span) -> Fullness {
+    /// `load_interval` is the time between two load reports of a peer. Routers don't see what
+    /// others have sent since then, so together they could send an engine that looks idle many
+    /// times what it can take. Longer intervals therefore increase the penalties for requests
+    /// beyond the max-min share.
+    pub fn limit(&self, standing: UsageStanding, load_interval: Span) -> Fullness {
         let over = (standing.share - self.over_from) / (self.over_to - self.over_from).max(0.01);
-        let uneven = ((standing.max_min_ratio - 1.0) / self.uneven).clamp(0.0, 1.0);
-        let over = over.clamp(uneven, 1.0);
-        let level = 1.0 + self.uneven;
-        let far = (standing.max_min_ratio - level) / (self.far - level).max(0.01);
-        let late = (words.as_secs() / WORDS.as_secs()).max(1.0);
-        let yields = late * (self.yields * uneven + self.yields_far * far.clamp(0.0, 1.0));
-        let falls_to = |least: f64| self.full - (self.full - least) * over - yields;
+        let excess = ((standing.max_min_ratio - 1.0) / self.excess_range).clamp(0.0, 1.0);
+        let over = over.clamp(excess, 1.0);
+        let tail_start = 1.0 + self.excess_range;
+        let tail = (standing.max_min_ratio - tail_start) / (self.tail_end - tail_start).max(0.01);
+        let scale = (load_interval.as_secs() / BASE_LOAD_INTERVAL.as_secs()).max(1.0);
+        let penalty =
+            scale * (self.excess_penalty * excess + self.tail_penalty * tail.clamp(0.0, 1.0));
+        let falls_to = |least: f64| self.full - (self.full - least) * over - penalty;
         Fullness {
-            places: falls_to(self.full_over),
+            occupancy: falls_to(self.full_over),
             backlog: falls_to(self.backlog_over),
-            own: falls_to(self.own_even + (self.own_over - self.own_even) * uneven),
+            reading: falls_to(self.reading_even + (self.reading_over - self.reading_even) * excess),
         }
     }
 }
 
-/// How full an engine is, or up to where it takes a request.
+/// How full an engine is, or the fullness up to which it takes a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fullness {
-    /// Part of its slots and of its memory, with this request.
-    pub places: f64,
-    /// Part of the shortest latency target that reading others' prompts may take.
+    /// Fraction of its slots and of its memory in use, including this request.
+    pub occupancy: f64,
+    /// Fraction of the shortest latency target that is needed to read earlier prompts.
     pub backlog: f64,
-    /// Part of the request's latency target that reading may take, its own included.
-    pub own: f64,
+    /// Fraction of the request's latency target that is needed for reading, including its own
+    /// prompt.
+    pub reading: f64,
 }
 
 impl Fullness {
-    /// Returns the highest of all.
-    pub(super) fn most(self) -> f64 {
-        self.places.max(self.backlog).max(self.own)
+    /// Returns the highest of the values.
+    pub(super) fn highest(self) -> f64 {
+        self.occupancy.max(self.backlog).max(self.reading)
     }
 
-    /// Tells whether nothing here is beyond the limits.
+    /// Returns whether no value is beyond its limit.
     pub(super) fn within(self, limits: Fullness) -> bool {
-        self.places <= limits.places && self.backlog <= limits.backlog && self.own <= limits.own
+        self.occupancy <= limits.occupancy
+            && self.backlog <= limits.backlog
+            && self.reading <= limits.reading
     }
 }
