--- a/crates/policy/src/placement/engine.rs
+++ b/crates/policy/src/placement/engine.rs
@@ -62,7 +62,7 @@
     }
 
     /// Returns the number of tokens that other requests share.
-    pub fn shared(&self) -> u32 {
+    pub fn shared_tokens(&self) -> u32 {
         let last = self.parts.last().map_or(0, |p| p.tokens);
         let all: u32 = self.parts.iter().map(|p| p.tokens).sum();
         all.saturating_sub(last)
--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -205,11 +205,11 @@
 fn rate<'a>(engine: &'a Candidate, rank: usize, request: &PlacementRequest<'_>) -> Rated<'a> {
     let (prompt, tuning) = (request.prompt, request.tuning);
     let cached = rank == 0 || engine.cached_age_s.is_some_and(|s| s < tuning.cached_s);
-    let missing = if cached { 0 } else { prompt.shared() };
+    let missing = if cached { 0 } else { prompt.shared_tokens() };
     // Shared parts that are copied from another engine take a fraction of the time.
     let reread = if engine.can_copy { 0 } else { missing };
     let copied = f64::from(missing - reread) * tuning.copy_cost;
-    let uncached = prompt.total.saturating_sub(prompt.shared()) + reread;
+    let uncached = prompt.total.saturating_sub(prompt.shared_tokens()) + reread;
     let load = engine.load;
     let wait_ms = (load.unread as f64 + f64::from(uncached)) / engine.speed;
     let target = (request.target.as_secs() * 1e3 - OVERHEAD_MS).max(1.0);
