--- a/crates/policy/src/members/gaps.rs
+++ b/crates/policy/src/members/gaps.rs
@@ -1,7 +1,7 @@
 //! How steadily a router's heartbeats arrive, and what silence is unusual.
 
 use {
-    super::Plan,
+    super::MembershipParams,
     crate::Span, //
 };
 
@@ -18,23 +18,23 @@
 }
 
 impl Gaps {
-    pub(super) fn new(plan: &Plan) -> Gaps {
+    pub(super) fn new(params: &MembershipParams) -> Gaps {
         Gaps {
-            mean: plan.interval.0 as f64,
+            mean: params.interval.0 as f64,
             deviation: 0.0,
         }
     }
 
-    pub(super) fn push(&mut self, gap: Span, plan: &Plan) {
-        let gap = gap.0.min(plan.most.0) as f64;
+    pub(super) fn push(&mut self, gap: Span, params: &MembershipParams) {
+        let gap = gap.0.min(params.max_timeout.0) as f64;
         let off = (gap - self.mean).abs();
         self.deviation += (off - self.deviation) * WEIGHT;
         self.mean += (gap - self.mean) * WEIGHT;
     }
 
     /// Returns the silence after which the router is suspected.
-    pub(super) fn limit(&self, plan: &Plan) -> Span {
+    pub(super) fn limit(&self, params: &MembershipParams) -> Span {
         let unusual = self.mean + DEVIATIONS * self.deviation;
-        Span(unusual as u64).clamp(plan.least, plan.most)
+        Span(unusual as u64).clamp(params.min_timeout, params.max_timeout)
     }
 }
--- a/crates/policy/src/members/mod.rs
+++ b/crates/policy/src/members/mod.rs
@@ -10,8 +10,8 @@
 mod member;
 mod messages;
 mod news;
+mod params;
 mod peer;
-mod plan;
 mod ring;
 mod rounds;
 mod table;
@@ -29,7 +29,7 @@
         Rumour,
         Word, //
     },
-    plan::Plan,
+    params::MembershipParams,
     table::{
         Members,
         Own, //
--- a/crates/policy/src/members/news.rs
+++ b/crates/policy/src/members/news.rs
@@ -52,7 +52,7 @@
         let Some(intro) = &b.intro else {
             return false;
         };
-        let peer = Peer::new(b.id.clone(), intro, &self.plan, now);
+        let peer = Peer::new(b.id.clone(), intro, &self.params, now);
         self.peers.insert(b.id.clone(), peer);
         true
     }
@@ -67,11 +67,11 @@
         }
         let newcomer = b.incarnation > p.member.incarnation;
         if newcomer {
-            p.restart(b.incarnation, &self.plan);
+            p.restart(b.incarnation, &self.params);
         } else if p.stale(b.seq) {
             return false;
         }
-        if p.hear(b, &self.me, &self.plan, now) {
+        if p.hear(b, &self.me, &self.params, now) {
             self.events.push(Event::Changed);
         }
         self.turn(&b.id, State::Live, now);
@@ -95,7 +95,7 @@
     /// Tells the sender that routers which it misses are heard here.
     fn vouch(&mut self, b: &Heartbeat, now: Time) {
         for id in &b.deaf {
-            let Some(p) = self.peers.get(id).filter(|p| p.fresh(&self.plan, now)) else {
+            let Some(p) = self.peers.get(id).filter(|p| p.fresh(&self.params, now)) else {
                 continue;
             };
             let r = p.rumour();
@@ -119,7 +119,7 @@
             return;
         }
         if r.incarnation > p.member.incarnation {
-            p.restart(r.incarnation, &self.plan);
+            p.restart(r.incarnation, &self.params);
             p.member.heard = false;
         } else if !r.beats(p.seq, p.word()) {
             // Fresher evidence is at hand: pass that on instead.
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -7,7 +7,7 @@
         Intro,
         Listed,
         Member,
-        Plan,
+        MembershipParams,
         Rumour,
         State,
         Word, //
@@ -46,7 +46,7 @@
 }
 
 impl Peer {
-    pub(super) fn new(id: RouterId, intro: &Intro, plan: &Plan, now: Time) -> Peer {
+    pub(super) fn new(id: RouterId, intro: &Intro, params: &MembershipParams, now: Time) -> Peer {
         Peer {
             member: Member {
                 id,
@@ -72,7 +72,7 @@
             due: false,
             probed: false,
             listed: false,
-            gaps: Gaps::new(plan),
+            gaps: Gaps::new(params),
             own_leaving: false,
             list_leaving: false,
             list_stale: false,
@@ -93,7 +93,7 @@
     }
 
     /// Starts over for a later start of the router.
-    pub(super) fn restart(&mut self, incarnation: Incarnation, plan: &Plan) {
+    pub(super) fn restart(&mut self, incarnation: Incarnation, params: &MembershipParams) {
         let known = self.member.incarnation != Incarnation::default();
         self.member.incarnation = incarnation;
         self.member.config = 0;
@@ -106,14 +106,20 @@
         self.list_stale |= known && self.list_leaving;
         self.list_leaving &= !known;
         self.member.leaving = self.list_leaving;
-        self.gaps = Gaps::new(plan);
+        self.gaps = Gaps::new(params);
     }
 
     /// Notes a heartbeat of the present start that is newer than those before; tells whether
     /// more than the figures it reports has changed.
-    pub(super) fn hear(&mut self, b: &Heartbeat, me: &RouterId, plan: &Plan, now: Time) -> bool {
+    pub(super) fn hear(
+        &mut self,
+        b: &Heartbeat,
+        me: &RouterId,
+        params: &MembershipParams,
+        now: Time,
+    ) -> bool {
         if let (true, Some((_, at))) = (self.due, self.direct) {
-            self.gaps.push(now.since(at), plan);
+            self.gaps.push(now.since(at), params);
         }
         self.direct = Some((b.seq, now));
         self.seq = self.seq.max(b.seq);
@@ -182,9 +188,9 @@
     }
 
     /// Tells whether a heartbeat arrived here within the last two rounds.
-    pub(super) fn fresh(&self, plan: &Plan, now: Time) -> bool {
+    pub(super) fn fresh(&self, params: &MembershipParams, now: Time) -> bool {
         self.direct
-            .is_some_and(|(_, at)| now.since(at) <= Span(plan.interval.0 * 2))
+            .is_some_and(|(_, at)| now.since(at) <= Span(params.interval.0 * 2))
     }
 
     /// Shifts the moments from which silence is counted, after a pause of this process.
--- a/crates/policy/src/members/ring.rs
+++ b/crates/policy/src/members/ring.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        Plan,
+        MembershipParams,
         State, //
     },
     crate::{
@@ -28,33 +28,33 @@
     }
 
     /// Tells whether the fleet is small enough for everyone to beat everyone.
-    pub(super) fn small(&self, plan: &Plan) -> bool {
-        self.0.len() <= plan.fan + 1
+    pub(super) fn small(&self, params: &MembershipParams) -> bool {
+        self.0.len() <= params.fanout + 1
     }
 
     /// Returns the routers that `me` beats in every round.
-    pub(super) fn successors(&self, me: &RouterId, plan: &Plan) -> Vec<RouterId> {
-        self.around(me, plan, |at, i, n| (at + i) % n)
+    pub(super) fn successors(&self, me: &RouterId, params: &MembershipParams) -> Vec<RouterId> {
+        self.around(me, params, |at, i, n| (at + i) % n)
     }
 
     /// Returns the routers that beat `me` in every round.
-    pub(super) fn predecessors(&self, me: &RouterId, plan: &Plan) -> Vec<RouterId> {
-        self.around(me, plan, |at, i, n| (at + n - i) % n)
+    pub(super) fn predecessors(&self, me: &RouterId, params: &MembershipParams) -> Vec<RouterId> {
+        self.around(me, params, |at, i, n| (at + n - i) % n)
     }
 
     fn around(
         &self,
         me: &RouterId,
-        plan: &Plan,
+        params: &MembershipParams,
         place: impl Fn(usize, usize, usize) -> usize,
     ) -> Vec<RouterId> {
         let n = self.0.len();
         let Some(at) = self.0.iter().position(|(_, id)| id == me) else {
             return Vec::new();
         };
-        let count = match self.small(plan) {
+        let count = match self.small(params) {
             true => n - 1,
-            false => plan.fan / 2,
+            false => params.fanout / 2,
         };
         (1..=count)
             .map(|i| self.0[place(at, i, n)].1.clone())
--- a/crates/policy/src/members/rounds.rs
+++ b/crates/policy/src/members/rounds.rs
@@ -22,7 +22,7 @@
     pub fn tick(&mut self, now: Time) {
         self.forgive(now);
         if self.round.is_none_or(|at| now >= at) {
-            self.round = Some(now + self.plan.interval);
+            self.round = Some(now + self.params.interval);
             self.seq += 1;
             let ring = Ring::new(self.ring_ids());
             self.expect(&ring, now);
@@ -43,7 +43,7 @@
         let Some(gap) = last.map(|t| now.since(t)) else {
             return;
         };
-        if gap <= Span(self.plan.interval.0 * 2) {
+        if gap <= Span(self.params.interval.0 * 2) {
             return;
         }
         for p in self.peers.values_mut() {
@@ -60,7 +60,7 @@
     /// Notes whose heartbeats are due here in every round.
     fn expect(&mut self, ring: &Ring, now: Time) {
         let due: BTreeSet<RouterId> = ring
-            .predecessors(&self.me, &self.plan)
+            .predecessors(&self.me, &self.params)
             .into_iter()
             .collect();
         for p in self.peers.values_mut() {
@@ -75,8 +75,10 @@
 
     /// Chooses whom to beat in this round.
     pub(super) fn targets(&mut self, ring: &Ring) -> BTreeSet<RouterId> {
-        let mut to: BTreeSet<RouterId> =
-            ring.successors(&self.me, &self.plan).into_iter().collect();
+        let mut to: BTreeSet<RouterId> = ring
+            .successors(&self.me, &self.params)
+            .into_iter()
+            .collect();
         let mut lost: Vec<RouterId> = Vec::new();
         let mut rest: Vec<RouterId> = Vec::new();
         for p in self.peers.values() {
@@ -89,7 +91,7 @@
         self.rng.shuffle(&mut lost);
         self.rng.shuffle(&mut rest);
         to.extend(lost.into_iter().take(DEAD_TRIES));
-        let free = self.plan.fan.saturating_sub(to.len());
+        let free = self.params.fanout.saturating_sub(to.len());
         to.extend(rest.into_iter().take(free));
         to
     }
@@ -101,10 +103,10 @@
         for p in self.peers.values_mut() {
             let id = &p.member.id;
             let silence = now.since(p.since);
-            let limit = p.gaps.limit(&self.plan);
+            let limit = p.gaps.limit(&self.params);
             match p.member.state {
                 State::Listed | State::Live if p.due => {
-                    if now.since(p.quiet) + self.plan.interval > limit && !p.probed {
+                    if now.since(p.quiet) + self.params.interval > limit && !p.probed {
                         p.probed = true;
                         p.member.heard = false;
                         probes.push(id.clone());
@@ -113,7 +115,7 @@
                         turns.push((id.clone(), State::Suspect));
                     }
                 }
-                State::Suspect if now.since(p.changed) > self.plan.confirm => {
+                State::Suspect if now.since(p.changed) > self.params.confirm_timeout => {
                     turns.push((id.clone(), State::Dead));
                 }
                 _ => {}
@@ -129,7 +131,7 @@
 
     /// Forgets routers that are long gone and no longer listed.
     fn forget(&mut self, now: Time) {
-        let forget = self.plan.forget;
+        let forget = self.params.retention;
         self.peers.retain(|_, p| {
             let gone = matches!(p.member.state, State::Dead | State::Left);
             p.listed || !gone || now.since(p.changed) < forget
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -10,7 +10,7 @@
         Intro,
         Listed,
         Member,
-        Plan,
+        MembershipParams,
         Rumour,
         State,
         Word, //
@@ -35,7 +35,7 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{members::{Event, Intro, Members, Plan}, Incarnation, Time};
+/// use policy::{members::{Event, Intro, Members, MembershipParams}, Incarnation, Time};
 ///
 /// let intro = |port| Intro {
 ///     addr: ([127, 0, 0, 1], port).into(),
@@ -44,8 +44,8 @@
 ///     zone: "hall-a".parse().unwrap(),
 /// };
 /// let id = |s: &str| s.parse().unwrap();
-/// let mut a = Members::new(id("a"), Incarnation(1), intro(7000), Plan::default(), 1);
-/// let mut b = Members::new(id("b"), Incarnation(1), intro(7100), Plan::default(), 2);
+/// let mut a = Members::new(id("a"), Incarnation(1), intro(7000), MembershipParams::default(), 1);
+/// let mut b = Members::new(id("b"), Incarnation(1), intro(7100), MembershipParams::default(), 2);
 /// a.seed(id("b"), intro(7100), Time(0));
 /// a.tick(Time(0));
 /// for e in a.take_events() {
@@ -61,7 +61,7 @@
     pub(super) incarnation: Incarnation,
     pub(super) intro: Intro,
     pub(super) own: Own,
-    pub(super) plan: Plan,
+    pub(super) params: MembershipParams,
     pub(super) rng: Rng,
     pub(super) seq: u64,
     pub(super) peers: BTreeMap<RouterId, Peer>,
@@ -95,7 +95,7 @@
         me: RouterId,
         incarnation: Incarnation,
         intro: Intro,
-        plan: Plan,
+        params: MembershipParams,
         seed: u64,
     ) -> Members {
         Members {
@@ -103,7 +103,7 @@
             incarnation,
             intro,
             own: Own::default(),
-            plan,
+            params,
             rng: Rng::with_seed(seed),
             seq: 0,
             peers: BTreeMap::new(),
@@ -128,7 +128,7 @@
         if id == self.me || self.peers.contains_key(&id) {
             return;
         }
-        let peer = Peer::new(id.clone(), &intro, &self.plan, now);
+        let peer = Peer::new(id.clone(), &intro, &self.params, now);
         self.peers.insert(id, peer);
         self.events.push(Event::Changed);
     }
--- a/crates/policy/tests/head/main.rs
+++ b/crates/policy/tests/head/main.rs
@@ -18,7 +18,7 @@
         Intro,
         Member,
         Members,
-        Plan, //
+        MembershipParams, //
     },
     Incarnation,
     RouterId,
@@ -144,7 +144,7 @@
         "r0".parse().unwrap(),
         Incarnation(1),
         intro(7000),
-        Plan::default(),
+        MembershipParams::default(),
         1,
     );
     for i in 1..8 {
--- a/crates/policy/tests/members/fleet.rs
+++ b/crates/policy/tests/members/fleet.rs
@@ -8,8 +8,8 @@
             Heartbeat,
             Intro,
             Members,
+            MembershipParams,
             Own,
-            Plan,
             State, //
         },
         Incarnation,
@@ -118,7 +118,7 @@
     fn start(&self, i: usize, n: usize, incarnation: u64) -> Node {
         let seed = i as u64 + incarnation * 1000;
         let start = Incarnation(incarnation);
-        let mut table = Members::new(id(i), start, intro(i), Plan::default(), seed);
+        let mut table = Members::new(id(i), start, intro(i), MembershipParams::default(), seed);
         for j in 0..n {
             table.seed(id(j), intro(j), self.now);
         }
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -12,7 +12,7 @@
             Listed,
             Member,
             Members,
-            Plan,
+            MembershipParams,
             Rumour,
             State,
             Word, //
@@ -24,7 +24,13 @@
 };
 
 fn table() -> Members {
-    Members::new(id(0), Incarnation(1), intro(0), Plan::default(), 1)
+    Members::new(
+        id(0),
+        Incarnation(1),
+        intro(0),
+        MembershipParams::default(),
+        1,
+    )
 }
 
 fn beat(i: usize, incarnation: u64, seq: u64) -> Heartbeat {
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -52,7 +52,7 @@
         members::{
             Intro,
             Members,
-            Plan, //
+            MembershipParams, //
         },
         tickets::{
             Holder,
@@ -218,7 +218,7 @@
             me.router.clone(),
             me.incarnation,
             intro,
-            Plan::default(),
+            MembershipParams::default(),
             seed,
         )),
         tickets: Mutex::new(Tickets::new(me.clone(), Keep::default())),
--- a/src/slopes/members.rs
+++ b/src/slopes/members.rs
@@ -15,8 +15,8 @@
             Intro,
             Listed,
             Members,
+            MembershipParams, //
             Own,
-            Plan, //
         },
         Incarnation,
         RouterId,
@@ -152,7 +152,13 @@
         zone: zone(me),
     };
     let seed = me as u64;
-    let mut members = Members::new(id(me), Incarnation(1), intro, Plan::default(), seed);
+    let mut members = Members::new(
+        id(me),
+        Incarnation(1),
+        intro,
+        MembershipParams::default(),
+        seed,
+    );
     let list = (0..n).map(|i| Listed {
         id: id(i),
         addr: addr(i),
