--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -60,7 +60,7 @@
     pub(super) me: RouterId,
     pub(super) incarnation: Incarnation,
     pub(super) intro: Intro,
-    pub(super) own: Own,
+    pub(super) local: LocalStatus,
     pub(super) params: MembershipParams,
     pub(super) rng: Rng,
     pub(super) seq: u64,
@@ -75,7 +75,7 @@
 
 /// What a router says of itself in its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Own {
+pub struct LocalStatus {
     /// It shuts down.
     pub leaving: bool,
     /// The platform does not answer it.
@@ -102,7 +102,7 @@
             me,
             incarnation,
             intro,
-            own: Own::default(),
+            local: LocalStatus::default(),
             params,
             rng: Rng::with_seed(seed),
             seq: 0,
@@ -116,11 +116,11 @@
     }
 
     /// Sets what the next heartbeats say of this router.
-    pub fn set(&mut self, own: Own) {
-        if self.own.leaving != own.leaving {
+    pub fn set_local_status(&mut self, local: LocalStatus) {
+        if self.local.leaving != local.leaving {
             self.events.push(Event::Changed);
         }
-        self.own = own;
+        self.local = local;
     }
 
     /// Adds a router that the settings name, where no list is at hand.
@@ -220,13 +220,13 @@
             operators: self.intro.operators,
             zone: self.intro.zone.clone(),
             state: State::Live,
-            leaving: self.own.leaving,
-            no_platform: self.own.no_platform,
+            leaving: self.local.leaving,
+            no_platform: self.local.no_platform,
             heard: true,
             hears: true,
-            config: self.own.config,
-            list: self.own.list,
-            load: self.own.load,
+            config: self.local.config,
+            list: self.local.list,
+            load: self.local.load,
         }
     }
 
@@ -261,11 +261,11 @@
             incarnation: self.incarnation,
             seq: self.seq,
             intro: (!known).then(|| self.intro.clone()),
-            leaving: self.own.leaving,
-            no_platform: self.own.no_platform,
-            config: self.own.config,
-            list: self.own.list,
-            load: self.own.load,
+            leaving: self.local.leaving,
+            no_platform: self.local.no_platform,
+            config: self.local.config,
+            list: self.local.list,
+            load: self.local.load,
             ask,
             deaf,
             rumours,
--- a/crates/policy/tests/members/fleet.rs
+++ b/crates/policy/tests/members/fleet.rs
@@ -7,9 +7,9 @@
             Event,
             Heartbeat,
             Intro,
+            LocalStatus,
             Members,
             MembershipParams,
-            Own,
             State, //
         },
         Incarnation,
@@ -83,10 +83,10 @@
 impl Node {
     pub fn take(&mut self, config: u64) {
         self.config = self.config.max(config);
-        self.table.set(Own {
+        self.table.set_local_status(LocalStatus {
             config: self.config,
             leaving: self.leaving,
-            ..Own::default()
+            ..LocalStatus::default()
         });
     }
 }
--- a/src/router/beat.rs
+++ b/src/router/beat.rs
@@ -18,8 +18,8 @@
         members::{
             Event,
             Intro,
+            LocalStatus,
             Member,
-            Own,
             State, //
         },
         Peer,
@@ -54,17 +54,17 @@
 fn tick(router: &Arc<Router>) {
     let own = own(router);
     let mut members = lock(&router.members);
-    members.set(own);
+    members.set_local_status(own);
     members.tick(router.now());
     drop(members);
     router.follow_members();
 }
 
-fn own(router: &Router) -> Own {
+fn own(router: &Router) -> LocalStatus {
     let config = lock(&router.force).head.revision().map_or(0, |r| r.0);
     let list = lock(&router.listing).listed.revision;
     let load = lock(&router.dispatch).running() as u32;
-    Own {
+    LocalStatus {
         leaving: router.is_leaving(),
         no_platform: router.no_platform.load(Ordering::Relaxed),
         config,
--- a/src/slopes/members.rs
+++ b/src/slopes/members.rs
@@ -14,9 +14,9 @@
             Heartbeat,
             Intro,
             Listed,
+            LocalStatus,
             Members,
             MembershipParams, //
-            Own,
         },
         Incarnation,
         RouterId,
@@ -102,7 +102,7 @@
     let mut mail: Vec<(usize, Heartbeat)> = Vec::new();
     let begin = Instant::now();
     for m in all.iter_mut() {
-        m.set(Own::default());
+        m.set_local_status(LocalStatus::default());
         m.tick(*now);
         mail.extend(
             m.take_events()
