--- a/crates/policy/src/members/gossip.rs
+++ b/crates/policy/src/members/gossip.rs
@@ -1,9 +1,9 @@
-//! The rumours that still have to be passed on.
+//! The updates that still have to be passed on.
 
 use {
     super::{
-        Rumour,
-        Word, //
+        GossipUpdate,
+        ReportedState, //
     },
     crate::RouterId,
     std::{
@@ -12,7 +12,7 @@
     },
 };
 
-/// Most rumours in one heartbeat.
+/// Most updates in one heartbeat.
 const PER_BEAT: usize = 8;
 /// A rumour is passed on this often for each doubling of the fleet.
 const REPEATS: u32 = 3;
@@ -20,18 +20,18 @@
 /// The newest rumour about each router, and how often it is still to be sent.
 #[derive(Debug, Default)]
 pub(super) struct Gossip {
-    by_router: BTreeMap<RouterId, (Rumour, u32)>,
+    by_router: BTreeMap<RouterId, (GossipUpdate, u32)>,
 }
 
 impl Gossip {
     /// Queues a rumour to be told to a fleet of `n`, in place of an older one.
-    pub(super) fn push(&mut self, r: Rumour, n: usize) {
+    pub(super) fn push(&mut self, r: GossipUpdate, n: usize) {
         let repeats = REPEATS * (n as u32 + 1).ilog2().max(1);
         self.by_router.insert(r.id.clone(), (r, repeats));
     }
 
-    /// Takes the rumours of the next heartbeat, those told least often first.
-    pub(super) fn take(&mut self) -> Vec<Rumour> {
+    /// Takes the updates of the next heartbeat, those told least often first.
+    pub(super) fn take(&mut self) -> Vec<GossipUpdate> {
         let mut next: Vec<(u32, RouterId)> = self
             .by_router
             .iter()
@@ -44,7 +44,7 @@
             .collect()
     }
 
-    fn tell(&mut self, id: &RouterId) -> Option<Rumour> {
+    fn tell(&mut self, id: &RouterId) -> Option<GossipUpdate> {
         let (r, left) = self.by_router.get_mut(id)?;
         *left -= 1;
         if *left > 0 {
@@ -54,13 +54,13 @@
     }
 }
 
-impl Rumour {
+impl GossipUpdate {
     /// Tells whether this news beats what is known: `seq` of the same start, and `word`.
-    pub(super) fn beats(&self, seq: u64, word: Word) -> bool {
-        match (self.word, word) {
-            (_, Word::Left) => false,
-            (Word::Left, _) => true,
-            _ => (self.seq, self.word) > (seq, word),
+    pub(super) fn supersedes(&self, seq: u64, state: ReportedState) -> bool {
+        match (self.state, state) {
+            (_, ReportedState::Left) => false,
+            (ReportedState::Left, _) => true,
+            _ => (self.seq, self.state) > (seq, state),
         }
     }
 }
--- a/crates/policy/src/members/messages.rs
+++ b/crates/policy/src/members/messages.rs
@@ -39,7 +39,8 @@
     /// Routers whose heartbeats it waits for in vain.
     pub deaf: Vec<RouterId>,
     /// News of others.
-    pub rumours: Vec<Rumour>,
+    #[serde(rename = "rumours")]
+    pub updates: Vec<GossipUpdate>,
 }
 
 /// Where a router is.
@@ -57,7 +58,7 @@
 
 /// News of a router, passed on by others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct GossipUpdate {
     /// Whom it is about.
     pub id: RouterId,
     /// Which start of it.
@@ -65,12 +66,13 @@
     /// The last of its heartbeats that the news rests on.
     pub seq: u64,
     /// The news.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub state: ReportedState,
 }
 
 /// What a rumour says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Word {
+pub enum ReportedState {
     /// It was heard.
     Live,
     /// It has been silent since.
--- a/crates/policy/src/members/mod.rs
+++ b/crates/policy/src/members/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The list only says where to look. Whether a router is up is decided by heartbeats: a
 //! small fleet beats everyone, a large one its successors on a hash ring and a few picked
-//! at random. News of others travel inside heartbeats as rumours, each with the sequence
+//! at random. News of others travel inside heartbeats as updates, each with the sequence
 //! number of the last heartbeat it rests on, so that the fresher evidence wins.
 
 mod gaps;
@@ -24,10 +24,10 @@
     },
     messages::{
         Event,
+        GossipUpdate,
         Heartbeat,
         Intro,
-        Rumour,
-        Word, //
+        ReportedState, //
     },
     params::MembershipParams,
     table::{
--- a/crates/policy/src/members/news.rs
+++ b/crates/policy/src/members/news.rs
@@ -4,11 +4,11 @@
     super::{
         peer::Peer,
         Event,
+        GossipUpdate,
         Heartbeat,
         Members,
-        Rumour,
+        ReportedState, //
         State,
-        Word, //
     },
     crate::{
         Incarnation,
@@ -17,7 +17,7 @@
     },
 };
 
-/// Most rumours about routers that are not live that a newcomer is told at once.
+/// Most updates about routers that are not live that a newcomer is told at once.
 const GREETING: usize = 64;
 
 impl Members {
@@ -33,8 +33,8 @@
         if self.hear(&b, now) {
             self.vouch(&b, now);
         }
-        for r in b.rumours {
-            self.rumoured(r, &b.id, now);
+        for r in b.updates {
+            self.receive_update(r, &b.id, now);
         }
         if b.ask {
             // The asker may have had this round's heartbeat already; a new number shows
@@ -83,8 +83,11 @@
 
     /// Tells a newcomer which routers are not live, since that news is no longer spread.
     fn greet(&mut self, id: &RouterId) {
-        let news = self.peers.values().filter(|p| p.word() != Word::Live);
-        let news: Vec<Rumour> = news.map(Peer::rumour).take(GREETING).collect();
+        let news = self
+            .peers
+            .values()
+            .filter(|p| p.reported_state() != ReportedState::Live);
+        let news: Vec<GossipUpdate> = news.map(Peer::gossip_update).take(GREETING).collect();
         if news.is_empty() {
             return;
         }
@@ -98,13 +101,13 @@
             let Some(p) = self.peers.get(id).filter(|p| p.fresh(&self.params, now)) else {
                 continue;
             };
-            let r = p.rumour();
+            let r = p.gossip_update();
             self.owed.entry(b.id.clone()).or_default().push(r);
         }
     }
 
     /// Takes news of a router, told by another.
-    fn rumoured(&mut self, r: Rumour, from: &RouterId, now: Time) {
+    fn receive_update(&mut self, r: GossipUpdate, from: &RouterId, now: Time) {
         if r.id == self.me {
             return self.accused(&r, from);
         }
@@ -113,40 +116,43 @@
             return;
         };
         if r.incarnation < p.member.incarnation {
-            if r.word != Word::Live && p.word() == Word::Live {
-                self.gossip.push(p.rumour(), n);
+            if r.state != ReportedState::Live && p.reported_state() == ReportedState::Live {
+                self.gossip.push(p.gossip_update(), n);
             }
             return;
         }
         if r.incarnation > p.member.incarnation {
             p.restart(r.incarnation, &self.params);
             p.member.heard = false;
-        } else if !r.beats(p.seq, p.word()) {
+        } else if !r.supersedes(p.seq, p.reported_state()) {
             // Fresher evidence is at hand: pass that on instead.
-            if r.word != Word::Live && p.word() == Word::Live && r.seq < p.seq {
-                self.gossip.push(p.rumour(), n);
+            if r.state != ReportedState::Live
+                && p.reported_state() == ReportedState::Live
+                && r.seq < p.seq
+            {
+                self.gossip.push(p.gossip_update(), n);
             }
             return;
         }
         p.seq = p.seq.max(r.seq);
-        if r.word == Word::Live {
+        if r.state == ReportedState::Live {
             p.since = now;
         }
-        self.turn(&r.id, r.word.state(), now);
+        self.turn(&r.id, r.state.member_state(), now);
     }
 
     /// Answers news of this router itself.
-    fn accused(&mut self, r: &Rumour, from: &RouterId) {
+    fn accused(&mut self, r: &GossipUpdate, from: &RouterId) {
         self.replaced(r.incarnation);
-        if r.incarnation != self.incarnation || r.word == Word::Live {
+        if r.incarnation != self.incarnation || r.state == ReportedState::Live {
             return;
         }
         self.seq = self.seq.max(r.seq) + 1;
-        let live = Rumour {
+        let live = GossipUpdate {
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
-            word: Word::Live,
+            state: ReportedState::Live,
         };
         let n = self.peers.len();
         self.gossip.push(live, n);
@@ -160,13 +166,13 @@
     }
 }
 
-impl Word {
-    fn state(self) -> State {
+impl ReportedState {
+    fn member_state(self) -> State {
         match self {
-            Word::Live => State::Live,
-            Word::Suspect => State::Suspect,
-            Word::Dead => State::Dead,
-            Word::Left => State::Left,
+            ReportedState::Live => State::Live,
+            ReportedState::Suspect => State::Suspect,
+            ReportedState::Dead => State::Dead,
+            ReportedState::Left => State::Left,
         }
     }
 }
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -3,14 +3,14 @@
 use {
     super::{
         gaps::Gaps,
+        GossipUpdate,
         Heartbeat,
         Intro,
         Listed,
         Member,
         MembershipParams,
-        Rumour,
+        ReportedState, //
         State,
-        Word, //
     },
     crate::{
         Incarnation,
@@ -169,21 +169,21 @@
     }
 
     /// Returns the news about this router, as it is known here.
-    pub(super) fn rumour(&self) -> Rumour {
-        Rumour {
+    pub(super) fn gossip_update(&self) -> GossipUpdate {
+        GossipUpdate {
             id: self.member.id.clone(),
             incarnation: self.member.incarnation,
             seq: self.seq,
-            word: self.word(),
+            state: self.reported_state(),
         }
     }
 
-    pub(super) fn word(&self) -> Word {
+    pub(super) fn reported_state(&self) -> ReportedState {
         match self.member.state {
-            State::Listed | State::Live => Word::Live,
-            State::Suspect => Word::Suspect,
-            State::Dead => Word::Dead,
-            State::Left => Word::Left,
+            State::Listed | State::Live => ReportedState::Live,
+            State::Suspect => ReportedState::Suspect,
+            State::Dead => ReportedState::Dead,
+            State::Left => ReportedState::Left,
         }
     }
 
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -6,14 +6,14 @@
         peer::Peer,
         ring::Ring,
         Event,
+        GossipUpdate,
         Heartbeat,
         Intro,
         Listed,
         Member,
         MembershipParams,
-        Rumour,
+        ReportedState, //
         State,
-        Word, //
     },
     crate::{
         Incarnation,
@@ -67,7 +67,7 @@
     pub(super) peers: BTreeMap<RouterId, Peer>,
     pub(super) gossip: Gossip,
     /// Rumours owed to one router, in the next heartbeat to it.
-    pub(super) owed: BTreeMap<RouterId, Vec<Rumour>>,
+    pub(super) owed: BTreeMap<RouterId, Vec<GossipUpdate>>,
     pub(super) events: Vec<Event>,
     pub(super) ticked: Option<Time>,
     pub(super) round: Option<Time>,
@@ -168,11 +168,11 @@
     /// Says goodbye to everyone: this router's process ends now.
     pub fn goodbye(&mut self) {
         self.seq += 1;
-        let left = Rumour {
+        let left = GossipUpdate {
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
-            word: Word::Left,
+            state: ReportedState::Left,
         };
         let ring = Ring::new(self.ring_ids());
         for id in self.targets(&ring) {
@@ -243,7 +243,7 @@
         self.events.push(Event::Changed);
         // A listed router that is first heard is what everyone expects.
         if (before, state) != (State::Listed, State::Live) {
-            self.gossip.push(p.rumour(), n);
+            self.gossip.push(p.gossip_update(), n);
         }
     }
 
@@ -253,8 +253,8 @@
         let Some(p) = self.peers.get(to) else {
             return;
         };
-        let mut rumours = self.owed.remove(to).unwrap_or_default();
-        rumours.extend(self.gossip.take());
+        let mut updates = self.owed.remove(to).unwrap_or_default();
+        updates.extend(self.gossip.take());
         let known = p.member.heard && !ask && self.seq % INTRO_EVERY != 0;
         let beat = Heartbeat {
             id: self.me.clone(),
@@ -268,7 +268,7 @@
             load: self.local.load,
             ask,
             deaf,
-            rumours,
+            updates,
         };
         self.events.push(Event::Beat {
             to: to.clone(),
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -8,14 +8,14 @@
     policy::{
         members::{
             Event,
+            GossipUpdate,
             Heartbeat,
             Listed,
             Member,
             Members,
             MembershipParams,
-            Rumour,
+            ReportedState, //
             State,
-            Word, //
         },
         Incarnation,
         Span,
@@ -46,7 +46,7 @@
         load: 0,
         ask: false,
         deaf: Vec::new(),
-        rumours: Vec::new(),
+        updates: Vec::new(),
     }
 }
 
@@ -97,11 +97,11 @@
     let mut m = table();
     m.heard(beat(1, 1, 2), at(0));
     let mut b = beat(2, 1, 50);
-    b.rumours = vec![Rumour {
+    b.updates = vec![GossipUpdate {
         id: id(1),
         incarnation: Incarnation(1),
         seq: 5,
-        word: Word::Dead,
+        state: ReportedState::Dead,
     }];
     m.heard(b, at(3000));
     for seq in 3..=5 {
@@ -215,24 +215,24 @@
 }
 
 #[test]
-fn rumour_older_than_what_is_known() {
+fn update_older_than_what_is_known() {
     // One router has missed heartbeats that arrived here. Its suspicion is stale, and the
     // others are told so.
     let mut m = table();
     m.heard(beat(1, 1, 10), at(0));
     m.take_events();
     let mut b = beat(2, 1, 1);
-    b.rumours = vec![Rumour {
+    b.updates = vec![GossipUpdate {
         id: id(1),
         incarnation: Incarnation(1),
         seq: 8,
-        word: Word::Suspect,
+        state: ReportedState::Suspect,
     }];
     m.heard(b, at(10));
     assert_eq!(one(&m).state, State::Live);
     m.tick(at(20));
     let told = m.take_events().into_iter().any(|e| match e {
-        Event::Beat { beat, .. } => beat.rumours.iter().any(|r| r.seq == 10),
+        Event::Beat { beat, .. } => beat.updates.iter().any(|r| r.seq == 10),
         _ => false,
     });
     assert!(told);
