--- a/crates/policy/src/members/messages.rs
+++ b/crates/policy/src/members/messages.rs
@@ -87,13 +87,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// Send a heartbeat. It may be lost.
-    Beat {
+    SendHeartbeat {
         /// To whom.
         to: RouterId,
         /// Where that router is.
         addr: SocketAddr,
         /// What to send.
-        beat: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
     },
     /// The view has changed, in more than the figures that routers report of themselves.
     Changed,
--- a/crates/policy/src/members/news.rs
+++ b/crates/policy/src/members/news.rs
@@ -40,7 +40,7 @@
             // The asker may have had this round's heartbeat already; a new number shows
             // that this router has lived on since.
             self.seq += 1;
-            self.beat(&b.id, false);
+            self.send_heartbeat(&b.id, false);
         }
     }
 
@@ -92,7 +92,7 @@
             return;
         }
         self.owed.insert(id.clone(), news);
-        self.beat(id, true);
+        self.send_heartbeat(id, true);
     }
 
     /// Tells the sender that routers which it misses are heard here.
@@ -156,7 +156,7 @@
         };
         let n = self.peers.len();
         self.gossip.push(live, n);
-        self.beat(from, false);
+        self.send_heartbeat(from, false);
     }
 
     fn replaced(&mut self, by: Incarnation) {
--- a/crates/policy/src/members/rounds.rs
+++ b/crates/policy/src/members/rounds.rs
@@ -27,7 +27,7 @@
             let ring = Ring::new(self.ring_ids());
             self.expect(&ring, now);
             for id in self.targets(&ring) {
-                self.beat(&id, false);
+                self.send_heartbeat(&id, false);
             }
         }
         self.judge(now);
@@ -122,7 +122,7 @@
             }
         }
         for id in probes {
-            self.beat(&id, true);
+            self.send_heartbeat(&id, true);
         }
         for (id, state) in turns {
             self.turn(&id, state, now);
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -49,8 +49,8 @@
 /// a.seed(id("b"), intro(7100), Time(0));
 /// a.tick(Time(0));
 /// for e in a.take_events() {
-///     if let Event::Beat { beat, .. } = e {
-///         b.heard(*beat, Time(0));
+///     if let Event::SendHeartbeat { heartbeat, .. } = e {
+///         b.heard(*heartbeat, Time(0));
 ///     }
 /// }
 /// assert_eq!(b.view().len(), 2);
@@ -177,7 +177,7 @@
         let ring = Ring::new(self.ring_ids());
         for id in self.targets(&ring) {
             self.owed.entry(id.clone()).or_default().push(left.clone());
-            self.beat(&id, false);
+            self.send_heartbeat(&id, false);
         }
     }
 
@@ -248,7 +248,7 @@
     }
 
     /// Queues a heartbeat to one router.
-    pub(super) fn beat(&mut self, to: &RouterId, ask: bool) {
+    pub(super) fn send_heartbeat(&mut self, to: &RouterId, ask: bool) {
         let deaf = self.deaf();
         let Some(p) = self.peers.get(to) else {
             return;
@@ -256,7 +256,7 @@
         let mut updates = self.owed.remove(to).unwrap_or_default();
         updates.extend(self.gossip.take());
         let known = p.member.heard && !ask && self.seq % INTRO_EVERY != 0;
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
@@ -270,10 +270,10 @@
             deaf,
             updates,
         };
-        self.events.push(Event::Beat {
+        self.events.push(Event::SendHeartbeat {
             to: to.clone(),
             addr: p.member.addr,
-            beat: Box::new(beat),
+            heartbeat: Box::new(heartbeat),
         });
     }
 
--- a/crates/policy/tests/members/fleet.rs
+++ b/crates/policy/tests/members/fleet.rs
@@ -258,7 +258,7 @@
         let mut changed = false;
         for e in events {
             match e {
-                Event::Beat { to, beat, .. } => self.post(i, index(&to), *beat),
+                Event::SendHeartbeat { to, heartbeat, .. } => self.post(i, index(&to), *heartbeat),
                 Event::Changed => changed = true,
                 Event::Replaced(_) => self.nodes[i].replaced = true,
             }
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -232,7 +232,7 @@
     assert_eq!(one(&m).state, State::Live);
     m.tick(at(20));
     let told = m.take_events().into_iter().any(|e| match e {
-        Event::Beat { beat, .. } => beat.updates.iter().any(|r| r.seq == 10),
+        Event::SendHeartbeat { heartbeat, .. } => heartbeat.updates.iter().any(|r| r.seq == 10),
         _ => false,
     });
     assert!(told);
--- a/src/router/beat.rs
+++ b/src/router/beat.rs
@@ -79,11 +79,15 @@
         let events = lock(&self.members).take_events();
         for event in events {
             match event {
-                Event::Beat { to, addr, beat } => {
+                Event::SendHeartbeat {
+                    to,
+                    addr,
+                    heartbeat,
+                } => {
                     let zone = lock(&self.members).get(&to).map(|m| m.zone.clone());
                     let delay = zone.map_or(Duration::ZERO, |z| self.way(&z));
                     self.links.route(&to, addr, delay);
-                    self.links.send(&to, Item::Beat(*beat));
+                    self.links.send(&to, Item::Beat(*heartbeat));
                 }
                 Event::Changed => self.members_changed(),
                 Event::Replaced(incarnation) => {
--- a/src/slopes/members.rs
+++ b/src/slopes/members.rs
@@ -126,7 +126,7 @@
 
 fn beat_of(e: Event, index: &HashMap<RouterId, usize>) -> Option<(usize, Heartbeat)> {
     match e {
-        Event::Beat { to, beat, .. } => Some((*index.get(&to)?, *beat)),
+        Event::SendHeartbeat { to, heartbeat, .. } => Some((*index.get(&to)?, *heartbeat)),
         Event::Changed | Event::Replaced(_) => None,
     }
 }
