--- a/crates/policy/src/members/news.rs
+++ b/crates/policy/src/members/news.rs
@@ -22,7 +22,7 @@
 
 impl Members {
     /// Takes a heartbeat. It may be late, doubled or out of order.
-    pub fn heard(&mut self, b: Heartbeat, now: Time) {
+    pub fn receive_heartbeat(&mut self, b: Heartbeat, now: Time) {
         if b.id == self.me {
             self.replaced(b.incarnation);
             return;
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -50,7 +50,7 @@
 /// a.tick(Time(0));
 /// for e in a.take_events() {
 ///     if let Event::SendHeartbeat { heartbeat, .. } = e {
-///         b.heard(*heartbeat, Time(0));
+///         b.receive_heartbeat(*heartbeat, Time(0));
 ///     }
 /// }
 /// assert_eq!(b.view().len(), 2);
@@ -135,7 +135,7 @@
 
     /// Takes the platform's list. It lags, so it adds routers but never takes away one
     /// that still beats.
-    pub fn listed(&mut self, list: Vec<Listed>, now: Time) {
+    pub fn update_list(&mut self, list: Vec<Listed>, now: Time) {
         for p in self.peers.values_mut() {
             p.listed = false;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Notes that a router said goodbye on its connection.
-    pub fn left(&mut self, id: &RouterId, now: Time) {
+    pub fn mark_left(&mut self, id: &RouterId, now: Time) {
         self.turn(id, State::Left, now);
     }
 
--- a/crates/policy/tests/members/fleet.rs
+++ b/crates/policy/tests/members/fleet.rs
@@ -243,7 +243,7 @@
                 Some(t) => held.push(((t + AWAKE, n), (to, incarnation, beat))),
                 None => {
                     node.take(beat.config);
-                    node.table.heard(beat, self.now);
+                    node.table.receive_heartbeat(beat, self.now);
                 }
             }
         }
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -79,13 +79,13 @@
     // A router is killed. A copy of its last heartbeat was held up in the network and arrives
     // when all know that it is dead. It would be given work for another two seconds.
     let mut m = table();
-    m.heard(beat(1, 1, 7), at(0));
+    m.receive_heartbeat(beat(1, 1, 7), at(0));
     tick(&mut m, 0, 3000);
     assert_eq!(one(&m).state, State::Dead);
-    m.heard(beat(1, 1, 7), at(3000));
-    m.heard(beat(1, 1, 6), at(3000));
+    m.receive_heartbeat(beat(1, 1, 7), at(3000));
+    m.receive_heartbeat(beat(1, 1, 6), at(3000));
     assert_eq!(one(&m).state, State::Dead);
-    m.heard(beat(1, 1, 8), at(3000));
+    m.receive_heartbeat(beat(1, 1, 8), at(3000));
     assert_eq!(one(&m).state, State::Live);
 }
 
@@ -95,7 +95,7 @@
     // goes on it hears of the death before it reads the last heartbeats of the dead one, which
     // have waited in its socket. They are older than what the news rests on.
     let mut m = table();
-    m.heard(beat(1, 1, 2), at(0));
+    m.receive_heartbeat(beat(1, 1, 2), at(0));
     let mut b = beat(2, 1, 50);
     b.updates = vec![GossipUpdate {
         id: id(1),
@@ -103,12 +103,12 @@
         seq: 5,
         state: ReportedState::Dead,
     }];
-    m.heard(b, at(3000));
+    m.receive_heartbeat(b, at(3000));
     for seq in 3..=5 {
-        m.heard(beat(1, 1, seq), at(3100));
+        m.receive_heartbeat(beat(1, 1, seq), at(3100));
         assert_eq!(one(&m).state, State::Dead);
     }
-    m.heard(beat(1, 1, 6), at(3200));
+    m.receive_heartbeat(beat(1, 1, 6), at(3200));
     assert_eq!(one(&m).state, State::Live);
 }
 
@@ -117,15 +117,15 @@
     // A router restarts, and a heartbeat of its earlier start arrives after the first one of
     // the new start. The new one's heartbeats must still count, though their numbers are low.
     let mut m = table();
-    m.heard(beat(1, 1, 900), at(0));
-    m.heard(beat(1, 2, 1), at(10));
+    m.receive_heartbeat(beat(1, 1, 900), at(0));
+    m.receive_heartbeat(beat(1, 2, 1), at(10));
     let mut old = beat(1, 1, 901);
     old.leaving = true;
-    m.heard(old, at(20));
+    m.receive_heartbeat(old, at(20));
     assert_eq!(one(&m).incarnation, Incarnation(2));
     assert!(!one(&m).leaving);
     for n in 2..40 {
-        m.heard(beat(1, 2, n), at(n * 250));
+        m.receive_heartbeat(beat(1, 2, n), at(n * 250));
         tick(&mut m, n * 250, n * 250 + 250);
         assert_eq!(one(&m).state, State::Live);
     }
@@ -136,11 +136,11 @@
     // Each heartbeat names another load. Were that a change of the view, every router would
     // work out all owners anew for each heartbeat.
     let mut m = table();
-    m.heard(beat(1, 1, 1), at(0));
+    m.receive_heartbeat(beat(1, 1, 1), at(0));
     assert!(m.take_events().contains(&Event::Changed));
     let mut b = beat(1, 1, 2);
     (b.load, b.config, b.list) = (7, 8, 9);
-    m.heard(b, at(250));
+    m.receive_heartbeat(b, at(250));
     assert_eq!((one(&m).load, one(&m).config, one(&m).list), (7, 8, 9));
     assert_eq!(m.take_events(), []);
 }
@@ -148,9 +148,9 @@
 #[test]
 fn heard_of_a_later_start_of_this_router() {
     let mut m = table();
-    m.heard(beat(0, 1, 5), at(0));
+    m.receive_heartbeat(beat(0, 1, 5), at(0));
     assert_eq!(m.take_events(), []);
-    m.heard(beat(0, 2, 5), at(0));
+    m.receive_heartbeat(beat(0, 2, 5), at(0));
     assert_eq!(m.take_events(), [Event::Replaced(Incarnation(2))]);
 }
 
@@ -159,16 +159,16 @@
     // A router leaves and starts again at once. The platform's list lags and still says
     // "leaving" of the start before; the new one must get work.
     let mut m = table();
-    m.listed(vec![listed(1, false)], at(0));
-    m.heard(beat(1, 1, 1), at(0));
-    m.listed(vec![listed(1, true)], at(10));
+    m.update_list(vec![listed(1, false)], at(0));
+    m.receive_heartbeat(beat(1, 1, 1), at(0));
+    m.update_list(vec![listed(1, true)], at(10));
     assert!(one(&m).leaving);
-    m.heard(beat(1, 2, 1), at(20));
+    m.receive_heartbeat(beat(1, 2, 1), at(20));
     assert!(!one(&m).leaving);
-    m.listed(vec![listed(1, true)], at(30));
+    m.update_list(vec![listed(1, true)], at(30));
     assert!(!one(&m).leaving, "the list still lags");
-    m.listed(vec![listed(1, false)], at(40));
-    m.listed(vec![listed(1, true)], at(50));
+    m.update_list(vec![listed(1, false)], at(40));
+    m.update_list(vec![listed(1, true)], at(50));
     assert!(one(&m).leaving, "the platform withdraws the new start");
 }
 
@@ -177,8 +177,8 @@
     // A router starts empty while the platform withdraws another, which does not know it yet
     // and beats as ever. The list's word must hold.
     let mut m = table();
-    m.listed(vec![listed(1, true)], at(0));
-    m.heard(beat(1, 5, 70), at(10));
+    m.update_list(vec![listed(1, true)], at(0));
+    m.receive_heartbeat(beat(1, 5, 70), at(10));
     assert!(one(&m).leaving);
 }
 
@@ -187,27 +187,27 @@
     // A router says goodbye on its connection, and a heartbeat it sent before arrives after
     // that by another one.
     let mut m = table();
-    m.heard(beat(1, 1, 1), at(0));
-    m.left(&id(1), at(10));
-    m.heard(beat(1, 1, 2), at(20));
+    m.receive_heartbeat(beat(1, 1, 1), at(0));
+    m.mark_left(&id(1), at(10));
+    m.receive_heartbeat(beat(1, 1, 2), at(20));
     assert_eq!(one(&m).state, State::Left);
-    m.heard(beat(1, 2, 1), at(30));
+    m.receive_heartbeat(beat(1, 2, 1), at(30));
     assert_eq!(one(&m).state, State::Live);
 }
 
 #[test]
 fn listed_without_a_router_that_still_beats() {
     let mut m = table();
-    m.listed(vec![listed(1, false)], at(0));
-    m.heard(beat(1, 1, 1), at(0));
-    m.listed(Vec::new(), at(10));
+    m.update_list(vec![listed(1, false)], at(0));
+    m.receive_heartbeat(beat(1, 1, 1), at(0));
+    m.update_list(Vec::new(), at(10));
     assert!(one(&m).up());
 }
 
 #[test]
 fn listed_but_never_heard() {
     let mut m = table();
-    m.listed(vec![listed(1, false)], at(0));
+    m.update_list(vec![listed(1, false)], at(0));
     assert_eq!(m.view().len(), 2);
     tick(&mut m, 0, 3000);
     assert_eq!(one(&m).state, State::Dead);
@@ -219,7 +219,7 @@
     // One router has missed heartbeats that arrived here. Its suspicion is stale, and the
     // others are told so.
     let mut m = table();
-    m.heard(beat(1, 1, 10), at(0));
+    m.receive_heartbeat(beat(1, 1, 10), at(0));
     m.take_events();
     let mut b = beat(2, 1, 1);
     b.updates = vec![GossipUpdate {
@@ -228,7 +228,7 @@
         seq: 8,
         state: ReportedState::Suspect,
     }];
-    m.heard(b, at(10));
+    m.receive_heartbeat(b, at(10));
     assert_eq!(one(&m).state, State::Live);
     m.tick(at(20));
     let told = m.take_events().into_iter().any(|e| match e {
--- a/src/router/inbox.rs
+++ b/src/router/inbox.rs
@@ -38,7 +38,7 @@
                 router.config_head(&m.from, beat.config);
                 router.list_head(&m.from, beat.list);
                 let now = router.now();
-                lock(&router.members).heard(beat, now);
+                lock(&router.members).receive_heartbeat(beat, now);
                 router.follow_members();
             }
             Item::Share(msg) => {
--- a/src/router/list.rs
+++ b/src/router/list.rs
@@ -198,7 +198,7 @@
         listing.listed = listed;
         listing.above = None;
         drop(listing);
-        lock(&self.members).listed(routers, now);
+        lock(&self.members).update_list(routers, now);
         self.follow_members();
         // A first list that names nobody else changes no member, but the dispatch waits to
         // hear just that.
--- a/src/slopes/members.rs
+++ b/src/slopes/members.rs
@@ -113,13 +113,13 @@
     let mut replies = Vec::new();
     for (to, beat) in mail.drain(..) {
         spent.bytes += size(&beat);
-        all[to].heard(beat, *now);
+        all[to].receive_heartbeat(beat, *now);
         let events = all[to].take_events().into_iter();
         replies.extend(events.filter_map(|e| beat_of(e, index)));
     }
     for (to, beat) in replies {
         spent.bytes += size(&beat);
-        all[to].heard(beat, *now);
+        all[to].receive_heartbeat(beat, *now);
     }
     spent.seconds += begin.elapsed().as_secs_f64();
 }
@@ -166,6 +166,6 @@
         zone: zone(i),
         leaving: false,
     });
-    members.listed(list.collect(), Time(0));
+    members.update_list(list.collect(), Time(0));
     members
 }
