--- a/crates/policy/src/members/member.rs
+++ b/crates/policy/src/members/member.rs
@@ -34,9 +34,9 @@
     /// The platform does not answer it, by its own word.
     pub no_platform: bool,
     /// Its heartbeats arrive here.
-    pub heard: bool,
+    pub inbound_ok: bool,
     /// It says nothing of missing this router's heartbeats.
-    pub hears: bool,
+    pub outbound_ok: bool,
     /// The revision of the configuration that it has in force.
     pub config: u64,
     /// The revision of the platform's list that it has seen.
--- a/crates/policy/src/members/news.rs
+++ b/crates/policy/src/members/news.rs
@@ -123,7 +123,7 @@
         }
         if r.incarnation > p.member.incarnation {
             p.restart(r.incarnation, &self.params);
-            p.member.heard = false;
+            p.member.inbound_ok = false;
         } else if !r.supersedes(p.seq, p.reported_state()) {
             // Fresher evidence is at hand: pass that on instead.
             if r.state != ReportedState::Live
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -58,8 +58,8 @@
                 state: State::Listed,
                 leaving: false,
                 no_platform: false,
-                heard: false,
-                hears: true,
+                inbound_ok: false,
+                outbound_ok: true,
                 config: 0,
                 list: 0,
                 load: 0,
@@ -134,8 +134,8 @@
         let before = m.clone();
         m.leaving = self.own_leaving || self.list_leaving;
         m.no_platform = b.no_platform;
-        m.heard = true;
-        m.hears = !b.deaf.contains(me);
+        m.inbound_ok = true;
+        m.outbound_ok = !b.deaf.contains(me);
         if let Some(i) = &b.intro {
             m.addr = i.addr;
             m.callers = i.callers;
--- a/crates/policy/src/members/rounds.rs
+++ b/crates/policy/src/members/rounds.rs
@@ -108,7 +108,7 @@
                 State::Listed | State::Live if p.due => {
                     if now.since(p.quiet) + self.params.interval > limit && !p.probed {
                         p.probed = true;
-                        p.member.heard = false;
+                        p.member.inbound_ok = false;
                         probes.push(id.clone());
                     }
                     if silence > limit {
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -222,8 +222,8 @@
             state: State::Live,
             leaving: self.local.leaving,
             no_platform: self.local.no_platform,
-            heard: true,
-            hears: true,
+            inbound_ok: true,
+            outbound_ok: true,
             config: self.local.config,
             list: self.local.list,
             load: self.local.load,
@@ -255,7 +255,7 @@
         };
         let mut updates = self.owed.remove(to).unwrap_or_default();
         updates.extend(self.gossip.take());
-        let known = p.member.heard && !ask && self.seq % INTRO_EVERY != 0;
+        let known = p.member.inbound_ok && !ask && self.seq % INTRO_EVERY != 0;
         let heartbeat = Heartbeat {
             id: self.me.clone(),
             incarnation: self.incarnation,
@@ -281,7 +281,7 @@
         let deaf = self
             .peers
             .values()
-            .filter(|p| p.due && !p.member.heard && p.member.up());
+            .filter(|p| p.due && !p.member.inbound_ok && p.member.up());
         deaf.map(|p| p.member.id.clone()).collect()
     }
 }
--- a/crates/policy/tests/members/fuzz.rs
+++ b/crates/policy/tests/members/fuzz.rs
@@ -138,7 +138,7 @@
                 true => {
                     assert_eq!(m.state, State::Live, "{b} at {a}");
                     assert_eq!(m.incarnation.0, f.nodes[b].incarnation);
-                    assert!(m.heard && m.hears, "{b} at {a}");
+                    assert!(m.inbound_ok && m.outbound_ok, "{b} at {a}");
                 }
                 false => assert!(!m.up(), "{b} at {a} is {}", m.state),
             }
--- a/crates/policy/tests/members/main.rs
+++ b/crates/policy/tests/members/main.rs
@@ -70,9 +70,12 @@
         assert_eq!(f.state(2, 1), Some(State::Live));
         assert_eq!(f.wrong, (0, 0));
         let seen = f.nodes[2].table.get(&id(1)).unwrap();
-        assert!(!seen.heard, "2 knows that it does not hear 1");
+        assert!(!seen.inbound_ok, "2 knows that it does not hear 1");
         let back = f.nodes[1].table.get(&id(2)).unwrap();
-        assert!(back.heard && !back.hears, "1 knows that 2 does not hear it");
+        assert!(
+            back.inbound_ok && !back.outbound_ok,
+            "1 knows that 2 does not hear it"
+        );
         f.kill(1);
         let took = f.until(Span::secs(10), |f| f.all_see(1, State::Dead));
         println!("one way, then killed: dead after {}", took.unwrap());
