--- a/crates/policy/src/members/messages.rs
+++ b/crates/policy/src/members/messages.rs
@@ -35,9 +35,11 @@
     /// Its load.
     pub load: u32,
     /// It wants a heartbeat back at once.
-    pub ask: bool,
+    #[serde(rename = "ask")]
+    pub reply_requested: bool,
     /// Routers whose heartbeats it waits for in vain.
-    pub deaf: Vec<RouterId>,
+    #[serde(rename = "deaf")]
+    pub missing: Vec<RouterId>,
     /// News of others.
     #[serde(rename = "rumours")]
     pub updates: Vec<GossipUpdate>,
--- a/crates/policy/src/members/news.rs
+++ b/crates/policy/src/members/news.rs
@@ -36,7 +36,7 @@
         for r in b.updates {
             self.receive_update(r, &b.id, now);
         }
-        if b.ask {
+        if b.reply_requested {
             // The asker may have had this round's heartbeat already; a new number shows
             // that this router has lived on since.
             self.seq += 1;
@@ -97,7 +97,7 @@
 
     /// Tells the sender that routers which it misses are heard here.
     fn vouch(&mut self, b: &Heartbeat, now: Time) {
-        for id in &b.deaf {
+        for id in &b.missing {
             let Some(p) = self.peers.get(id).filter(|p| p.fresh(&self.params, now)) else {
                 continue;
             };
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -135,7 +135,7 @@
         m.leaving = self.own_leaving || self.list_leaving;
         m.no_platform = b.no_platform;
         m.inbound_ok = true;
-        m.outbound_ok = !b.deaf.contains(me);
+        m.outbound_ok = !b.missing.contains(me);
         if let Some(i) = &b.intro {
             m.addr = i.addr;
             m.callers = i.callers;
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -248,14 +248,14 @@
     }
 
     /// Queues a heartbeat to one router.
-    pub(super) fn send_heartbeat(&mut self, to: &RouterId, ask: bool) {
-        let deaf = self.deaf();
+    pub(super) fn send_heartbeat(&mut self, to: &RouterId, reply_requested: bool) {
+        let missing = self.missing();
         let Some(p) = self.peers.get(to) else {
             return;
         };
         let mut updates = self.owed.remove(to).unwrap_or_default();
         updates.extend(self.gossip.take());
-        let known = p.member.inbound_ok && !ask && self.seq % INTRO_EVERY != 0;
+        let known = p.member.inbound_ok && !reply_requested && self.seq % INTRO_EVERY != 0;
         let heartbeat = Heartbeat {
             id: self.me.clone(),
             incarnation: self.incarnation,
@@ -266,8 +266,8 @@
             config: self.local.config,
             list: self.local.list,
             load: self.local.load,
-            ask,
-            deaf,
+            reply_requested,
+            missing,
             updates,
         };
         self.events.push(Event::SendHeartbeat {
@@ -277,11 +277,11 @@
         });
     }
 
-    fn deaf(&self) -> Vec<RouterId> {
-        let deaf = self
+    fn missing(&self) -> Vec<RouterId> {
+        let missing = self
             .peers
             .values()
             .filter(|p| p.due && !p.member.inbound_ok && p.member.up());
-        deaf.map(|p| p.member.id.clone()).collect()
+        missing.map(|p| p.member.id.clone()).collect()
     }
 }
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -44,8 +44,8 @@
         config: 0,
         list: 0,
         load: 0,
-        ask: false,
-        deaf: Vec::new(),
+        reply_requested: false,
+        missing: Vec::new(),
         updates: Vec::new(),
     }
 }
