--- a/crates/policy/src/tickets/between.rs
+++ b/crates/policy/src/tickets/between.rs
@@ -89,14 +89,14 @@
             return;
         }
         let now = self.clock(now);
-        let expires = now + self.keep.life;
+        let expires = now + self.limits.ticket_ttl;
         match self.entries.get_mut(t) {
             None if t.issuer() == self.me || self.floors.below(t) => {}
             None => self.insert(t, hop, expires),
             Some(e) if hop > e.hop && matches!(e.state, State::Moved(_)) => {
                 e.state = State::Held;
                 e.hop = hop;
-                e.until = e.until.max(expires + self.keep.outcome);
+                e.until = e.until.max(expires + self.limits.outcome_ttl);
             }
             Some(_) => {}
         }
--- a/crates/policy/src/tickets/mod.rs
+++ b/crates/policy/src/tickets/mod.rs
@@ -25,7 +25,7 @@
     },
     table::{
         Counts,
-        Keep,
+        RetentionLimits,
         Tickets, //
     },
     ticket::{
--- a/crates/policy/src/tickets/table.rs
+++ b/crates/policy/src/tickets/table.rs
@@ -30,21 +30,21 @@
 
 /// How long and how much is remembered.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Keep {
+pub struct RetentionLimits {
     /// How long a ticket may be used after it was issued, or after it came here.
-    pub life: Span,
+    pub ticket_ttl: Span,
     /// How long its outcome is kept beyond that.
-    pub outcome: Span,
+    pub outcome_ttl: Span,
     /// How many bytes of recorded answers are kept.
-    pub answers: usize,
+    pub answer_bytes: usize,
 }
 
-impl Default for Keep {
-    fn default() -> Keep {
-        Keep {
-            life: Span::secs(120),
-            outcome: Span::secs(300),
-            answers: 32 << 20,
+impl Default for RetentionLimits {
+    fn default() -> RetentionLimits {
+        RetentionLimits {
+            ticket_ttl: Span::secs(120),
+            outcome_ttl: Span::secs(300),
+            answer_bytes: 32 << 20,
         }
     }
 }
@@ -54,10 +54,10 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{tickets::{Claim, Holder, Keep, Tickets}, Incarnation, Outcome, Time};
+/// use policy::{tickets::{Claim, Holder, RetentionLimits, Tickets}, Incarnation, Outcome, Time};
 ///
 /// let me = Holder { router: "r1".parse().unwrap(), incarnation: Incarnation(1) };
-/// let mut tickets = Tickets::new(me, Keep::default());
+/// let mut tickets = Tickets::new(me, RetentionLimits::default());
 /// let t = tickets.issue(1, Time(0)).remove(0);
 /// let Claim::Granted(grant) = tickets.claim(&t, Time(1)) else { panic!() };
 /// assert_eq!(tickets.claim(&t, Time(2)), Claim::Running);
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 pub struct Tickets {
     pub(super) me: Holder,
-    pub(super) keep: Keep,
+    pub(super) limits: RetentionLimits,
     now: Time,
     issued: Issued,
     pub(super) floors: Floors,
@@ -94,15 +94,15 @@
 
 impl Tickets {
     /// Makes the table of a router start that has issued nothing.
-    pub fn new(me: Holder, keep: Keep) -> Tickets {
+    pub fn new(me: Holder, limits: RetentionLimits) -> Tickets {
         Tickets {
             me,
             now: Time::default(),
             issued: Issued::default(),
             floors: Floors::default(),
-            answers: Answers::new(keep.answers),
+            answers: Answers::new(limits.answer_bytes),
             entries: HashMap::new(),
-            keep,
+            limits,
         }
     }
 
@@ -114,7 +114,7 @@
             incarnation,
         } = &self.me;
         self.issued
-            .take(n, now, self.keep.life)
+            .take(n, now, self.limits.ticket_ttl)
             .map(|number| Ticket {
                 router: router.clone(),
                 incarnation: *incarnation,
@@ -169,7 +169,7 @@
             return self.unstarted(grant, now);
         }
         let now = self.clock(now);
-        let max = self.keep.answers / 4;
+        let max = self.limits.answer_bytes / 4;
         let answer = answer.filter(|a| a.len() <= max).map(Answer);
         let Some(e) = self.entries.get_mut(&grant.ticket) else {
             return;
@@ -184,7 +184,7 @@
         }
         let bytes = answer.as_ref().map(|a| a.0.len());
         e.state = State::Done(Record { outcome, answer });
-        e.until = e.expires.max(now) + self.keep.outcome;
+        e.until = e.expires.max(now) + self.limits.outcome_ttl;
         if let Some(n) = bytes {
             self.record(&grant.ticket, n);
         }
@@ -211,7 +211,7 @@
             router,
             incarnation,
         } = &self.me;
-        if let Some(first) = self.issued.retire(now - self.keep.outcome) {
+        if let Some(first) = self.issued.retire(now - self.limits.outcome_ttl) {
             self.floors.raise(router, *incarnation, first);
         }
         let floors = &mut self.floors;
@@ -283,7 +283,7 @@
             hop,
             attempt: 0,
             expires,
-            until: expires + self.keep.outcome,
+            until: expires + self.limits.outcome_ttl,
         };
         self.entries.insert(t.clone(), e);
     }
--- a/crates/policy/tests/tickets/stories.rs
+++ b/crates/policy/tests/tickets/stories.rs
@@ -7,9 +7,9 @@
             Ask,
             Claim,
             Holder,
-            Keep,
             Record,
             Reply,
+            RetentionLimits,
             Ticket,
             TicketError,
             Tickets, //
@@ -30,7 +30,7 @@
 }
 
 fn table(name: &str, incarnation: u64) -> Tickets {
-    Tickets::new(holder(name, incarnation), Keep::default())
+    Tickets::new(holder(name, incarnation), RetentionLimits::default())
 }
 
 fn at(s: u64) -> Time {
@@ -229,11 +229,11 @@
 
 #[test]
 fn finish_keeps_the_outcome_when_answers_are_too_many() {
-    let keep = Keep {
-        answers: 4000,
-        ..Keep::default()
+    let limits = RetentionLimits {
+        answer_bytes: 4000,
+        ..RetentionLimits::default()
     };
-    let mut a = Tickets::new(holder("a", 1), keep);
+    let mut a = Tickets::new(holder("a", 1), limits);
     let all = a.issue(10, at(0));
     for t in &all {
         let Claim::Granted(grant) = a.claim(t, at(1)) else {
--- a/crates/policy/tests/tickets/world.rs
+++ b/crates/policy/tests/tickets/world.rs
@@ -7,8 +7,8 @@
             Claim,
             Grant,
             Holder,
-            Keep,
             Reply,
+            RetentionLimits,
             Ticket,
             Tickets, //
         },
@@ -123,13 +123,13 @@
         router: format!("r{router}").parse().unwrap(),
         incarnation: Incarnation(incarnation),
     };
-    let keep = Keep {
-        life: Span::secs(10),
-        outcome: Span::secs(10),
-        answers: 64,
+    let limits = RetentionLimits {
+        ticket_ttl: Span::secs(10),
+        outcome_ttl: Span::secs(10),
+        answer_bytes: 64,
     };
     Process {
-        tickets: Tickets::new(holder.clone(), keep),
+        tickets: Tickets::new(holder.clone(), limits),
         holder,
         now: Time::default(),
         dead: false,
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -56,7 +56,7 @@
         },
         tickets::{
             Holder,
-            Keep,
+            RetentionLimits,
             Tickets, //
         },
         Dispatch,
@@ -221,7 +221,7 @@
             MembershipParams::default(),
             seed,
         )),
-        tickets: Mutex::new(Tickets::new(me.clone(), Keep::default())),
+        tickets: Mutex::new(Tickets::new(me.clone(), RetentionLimits::default())),
         dispatch: Mutex::new(Dispatch::new(peer, seed)),
         jobs: Mutex::new(Jobs::default()),
         budgets: Mutex::default(),
--- a/src/slopes/tickets.rs
+++ b/src/slopes/tickets.rs
@@ -12,7 +12,7 @@
         tickets::{
             Claim,
             Holder,
-            Keep,
+            RetentionLimits,
             Tickets, //
         },
         Incarnation,
@@ -53,7 +53,7 @@
         router: "r1".parse().expect("a valid name"),
         incarnation: Incarnation(1),
     };
-    Tickets::new(me, Keep::default())
+    Tickets::new(me, RetentionLimits::default())
 }
 
 fn used(n: usize) -> Tickets {
