--- a/crates/policy/src/tickets/messages.rs
+++ b/crates/policy/src/tickets/messages.rs
@@ -26,7 +26,7 @@
 /// What a router may do for a request that carries a ticket.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// It may start the request, and must end the grant by `finish` or `unstarted`.
+    /// It may start the request, and must end the grant by `finish` or `release`.
     Granted(Grant),
     /// The request runs, or is about to; its outcome can be had later.
     Running,
@@ -34,11 +34,11 @@
     Done(Record),
     /// Another router holds the ticket: ask it. If it can't be asked, the request may
     /// have run.
-    Ask(Ask),
+    AskHolder(TransferRequest),
     /// The request never ran and never will: "not run" is true.
     Expired,
     /// Nobody remembers: the request may have run.
-    Gone,
+    Unknown,
 }
 
 /// The right to start the request of a ticket now. It can't be copied.
@@ -70,22 +70,25 @@
 
 /// A question of one router to another: may I start the request of this ticket?
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct TransferRequest {
     /// The ticket.
     pub ticket: Ticket,
     /// Who asks.
-    pub by: Holder,
+    #[serde(rename = "by")]
+    pub requester: Holder,
     /// Who is asked: the issuer, or whom the ticket went to.
-    pub of: Holder,
+    #[serde(rename = "of")]
+    pub holder: Holder,
     /// How often the ticket had changed hands when it came to `of`.
     pub hop: u32,
 }
 
-/// The answer to an [`Ask`].
+/// The answer to a [`TransferRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Reply {
+pub enum TransferReply {
     /// The ticket is now held by the asker, and by nobody else.
-    Yours {
+    #[serde(rename = "Yours")]
+    Transferred {
         /// The asker it was given to.
         to: Holder,
         /// How often it has changed hands.
@@ -105,7 +108,8 @@
     /// It never ran and never will.
     Expired,
     /// The router asked does not remember.
-    Gone,
+    #[serde(rename = "Gone")]
+    Unknown,
 }
 
 impl Serialize for Answer {
--- a/crates/policy/src/tickets/mod.rs
+++ b/crates/policy/src/tickets/mod.rs
@@ -6,22 +6,22 @@
 //! agreeing, or on messages arriving once, in order or at all.
 
 mod answers;
-mod between;
 mod entry;
 mod floors;
 mod issued;
 mod messages;
 mod table;
 mod ticket;
+mod transfer;
 
 pub use self::{
     messages::{
         Answer,
-        Ask,
         Claim,
         Grant,
         Record,
-        Reply, //
+        TransferReply, //
+        TransferRequest,
     },
     table::{
         Counts,
--- a/crates/policy/src/tickets/table.rs
+++ b/crates/policy/src/tickets/table.rs
@@ -10,12 +10,12 @@
         floors::Floors,
         issued::Issued,
         Answer,
-        Ask,
         Claim,
         Grant,
         Holder,
         Record,
         Ticket, //
+        TransferRequest,
     },
     crate::{
         Outcome,
@@ -145,10 +145,10 @@
             }
             State::Running => Claim::Running,
             State::Done(record) => Claim::Done(record.clone()),
-            State::Moved(to) => Claim::Ask(Ask {
+            State::Moved(to) => Claim::AskHolder(TransferRequest {
                 ticket: t.clone(),
-                by: me,
-                of: to.clone(),
+                requester: me,
+                holder: to.clone(),
                 hop: e.hop,
             }),
         }
@@ -156,7 +156,7 @@
 
     /// Records how a granted request ended, for those who ask again.
     ///
-    /// [`Outcome::NotRun`] is the same as [`Tickets::unstarted`]. A later answer replaces
+    /// [`Outcome::NotRun`] is the same as [`Tickets::release`]. A later answer replaces
     /// [`Outcome::MayHaveRun`]; any other second call is ignored.
     pub fn finish(
         &mut self,
@@ -166,7 +166,7 @@
         now: Time,
     ) {
         if outcome == Outcome::NotRun {
-            return self.unstarted(grant, now);
+            return self.release(grant, now);
         }
         let now = self.clock(now);
         let max = self.limits.answer_bytes / 4;
@@ -194,7 +194,7 @@
     ///
     /// The ticket may be used again, here or by a router that asks. A grant that was given
     /// back or finished before changes nothing, so it can't free a later attempt's ticket.
-    pub fn unstarted(&mut self, grant: &Grant, now: Time) {
+    pub fn release(&mut self, grant: &Grant, now: Time) {
         self.clock(now);
         let Some(e) = self.entries.get_mut(&grant.ticket) else {
             return;
@@ -257,12 +257,12 @@
     /// What a request comes to whose ticket has no entry here.
     fn unknown(&self, t: &Ticket) -> Claim {
         if t.router == self.me.router || self.floors.below(t) {
-            return Claim::Gone;
+            return Claim::Unknown;
         }
-        Claim::Ask(Ask {
+        Claim::AskHolder(TransferRequest {
             ticket: t.clone(),
-            by: self.me.clone(),
-            of: t.issuer(),
+            requester: self.me.clone(),
+            holder: t.issuer(),
             hop: 0,
         })
     }
--- a/crates/policy/src/tickets/between.rs
+++ b/crates/policy/src/tickets/transfer.rs
@@ -3,77 +3,79 @@
 use {
     super::{
         entry::State,
-        Ask,
         Claim,
-        Reply,
         Ticket,
         Tickets, //
+        TransferReply,
+        TransferRequest,
     },
     crate::Time, //
 };
 
 impl Tickets {
-    /// Takes the reply to an [`Ask`] and returns what it means for the request.
+    /// Takes the reply to a [`TransferRequest`] and returns what it means for the request.
     ///
-    /// A reply may come late, twice or never. [`Claim::Ask`] names whom to ask next.
-    pub fn answered(&mut self, t: &Ticket, reply: Reply, now: Time) -> Claim {
+    /// A reply may come late, twice or never. [`Claim::AskHolder`] names whom to ask next.
+    pub fn apply_reply(&mut self, t: &Ticket, reply: TransferReply, now: Time) -> Claim {
         match reply {
-            Reply::Yours { to, hop } if to == self.me => {
+            TransferReply::Transferred { to, hop } if to == self.me => {
                 self.adopt(t, hop, now);
                 self.claim(t, now)
             }
             // The reply is for an earlier start of this router, which may have used it.
-            Reply::Yours { .. } => Claim::Gone,
-            Reply::Moved { to, .. } if to.router == self.me.router && to != self.me => Claim::Gone,
-            Reply::Moved { to, hop } if to == self.me => {
+            TransferReply::Transferred { .. } => Claim::Unknown,
+            TransferReply::Moved { to, .. } if to.router == self.me.router && to != self.me => {
+                Claim::Unknown
+            }
+            TransferReply::Moved { to, hop } if to == self.me => {
                 self.adopt(t, hop, now);
                 self.claim(t, now)
             }
-            Reply::Moved { to, hop } => Claim::Ask(Ask {
+            TransferReply::Moved { to, hop } => Claim::AskHolder(TransferRequest {
                 ticket: t.clone(),
-                by: self.me.clone(),
-                of: to,
+                requester: self.me.clone(),
+                holder: to,
                 hop,
             }),
-            Reply::Running => Claim::Running,
-            Reply::Done(record) => Claim::Done(record),
-            Reply::Expired => Claim::Expired,
-            Reply::Gone => Claim::Gone,
+            TransferReply::Running => Claim::Running,
+            TransferReply::Done(record) => Claim::Done(record),
+            TransferReply::Expired => Claim::Expired,
+            TransferReply::Unknown => Claim::Unknown,
         }
     }
 
-    /// Answers another router's [`Ask`]: gives the ticket away if it is unused.
+    /// Answers another router's [`TransferRequest`]: gives the ticket away if it is unused.
     ///
     /// The same asker gets the same reply however often its question arrives.
-    pub fn asked(&mut self, ask: &Ask, now: Time) -> Reply {
+    pub fn answer_transfer(&mut self, request: &TransferRequest, now: Time) -> TransferReply {
         let now = self.clock(now);
-        let t = &ask.ticket;
-        if ask.of != self.me || ask.by == self.me {
-            return Reply::Gone;
+        let t = &request.ticket;
+        if request.holder != self.me || request.requester == self.me {
+            return TransferReply::Unknown;
         }
         // Whoever names this start as the holder has it from the router that gave the
         // ticket here, though the reply that said so may have been lost on its way.
-        self.adopt(t, ask.hop, now);
+        self.adopt(t, request.hop, now);
         let Some(e) = self.entry(t) else {
-            return Reply::Gone;
+            return TransferReply::Unknown;
         };
         match &e.state {
-            State::Held if now >= e.expires => Reply::Expired,
+            State::Held if now >= e.expires => TransferReply::Expired,
             State::Held => {
-                e.state = State::Moved(ask.by.clone());
+                e.state = State::Moved(request.requester.clone());
                 e.hop += 1;
-                Reply::Yours {
-                    to: ask.by.clone(),
+                TransferReply::Transferred {
+                    to: request.requester.clone(),
                     hop: e.hop,
                 }
             }
-            State::Running => Reply::Running,
-            State::Done(record) => Reply::Done(record.clone()),
-            State::Moved(to) if *to == ask.by => Reply::Yours {
+            State::Running => TransferReply::Running,
+            State::Done(record) => TransferReply::Done(record.clone()),
+            State::Moved(to) if *to == request.requester => TransferReply::Transferred {
                 to: to.clone(),
                 hop: e.hop,
             },
-            State::Moved(to) => Reply::Moved {
+            State::Moved(to) => TransferReply::Moved {
                 to: to.clone(),
                 hop: e.hop,
             },
--- a/crates/policy/tests/tickets/stories.rs
+++ b/crates/policy/tests/tickets/stories.rs
@@ -4,15 +4,15 @@
     policy::{
         tickets::{
             Answer,
-            Ask,
             Claim,
             Holder,
             Record,
-            Reply,
             RetentionLimits,
             Ticket,
             TicketError,
             Tickets, //
+            TransferReply,
+            TransferRequest,
         },
         Incarnation,
         Outcome,
@@ -37,9 +37,9 @@
     Time(0) + Span::secs(s)
 }
 
-fn ask(claim: Claim) -> Ask {
+fn ask(claim: Claim) -> TransferRequest {
     match claim {
-        Claim::Ask(ask) => ask,
+        Claim::AskHolder(request) => request,
         other => panic!("{other:?}"),
     }
 }
@@ -78,13 +78,13 @@
     let t = a.issue(1, at(0)).remove(0);
     let from_b = ask(b.claim(&t, at(1)));
     let from_c = ask(c.claim(&t, at(1)));
-    let to_b = a.asked(&from_b, at(1));
-    let to_c = a.asked(&from_c, at(1));
-    assert!(matches!(b.answered(&t, to_b, at(1)), Claim::Granted(_)));
-    let next = ask(c.answered(&t, to_c, at(1)));
-    assert_eq!(next.of, holder("b", 1));
-    let to_c = b.asked(&next, at(1));
-    assert_eq!(c.answered(&t, to_c, at(1)), Claim::Running);
+    let to_b = a.answer_transfer(&from_b, at(1));
+    let to_c = a.answer_transfer(&from_c, at(1));
+    assert!(matches!(b.apply_reply(&t, to_b, at(1)), Claim::Granted(_)));
+    let next = ask(c.apply_reply(&t, to_c, at(1)));
+    assert_eq!(next.holder, holder("b", 1));
+    let to_c = b.answer_transfer(&next, at(1));
+    assert_eq!(c.apply_reply(&t, to_c, at(1)), Claim::Running);
 }
 
 #[test]
@@ -94,13 +94,13 @@
     let (mut a, mut b) = (table("a", 1), table("b", 1));
     let t = a.issue(1, at(0)).remove(0);
     let question = ask(b.claim(&t, at(1)));
-    let lost = a.asked(&question, at(1));
-    assert_eq!(a.asked(&question, at(2)), lost);
+    let lost = a.answer_transfer(&question, at(1));
+    assert_eq!(a.answer_transfer(&question, at(2)), lost);
     assert!(matches!(
-        b.answered(&t, lost.clone(), at(2)),
+        b.apply_reply(&t, lost.clone(), at(2)),
         Claim::Granted(_)
     ));
-    assert_eq!(b.answered(&t, lost, at(3)), Claim::Running);
+    assert_eq!(b.apply_reply(&t, lost, at(3)), Claim::Running);
 }
 
 #[test]
@@ -109,13 +109,13 @@
     // which has never used the ticket and can pass it on.
     let (mut a, mut b, mut c) = (table("a", 1), table("b", 1), table("c", 1));
     let t = a.issue(1, at(0)).remove(0);
-    let late = a.asked(&ask(b.claim(&t, at(1))), at(1));
-    let to_c = a.asked(&ask(c.claim(&t, at(2))), at(2));
-    let to_c = b.asked(&ask(c.answered(&t, to_c, at(2))), at(2));
-    assert!(matches!(c.answered(&t, to_c, at(2)), Claim::Granted(_)));
-    let question = ask(b.answered(&t, late, at(3)));
+    let late = a.answer_transfer(&ask(b.claim(&t, at(1))), at(1));
+    let to_c = a.answer_transfer(&ask(c.claim(&t, at(2))), at(2));
+    let to_c = b.answer_transfer(&ask(c.apply_reply(&t, to_c, at(2))), at(2));
+    assert!(matches!(c.apply_reply(&t, to_c, at(2)), Claim::Granted(_)));
+    let question = ask(b.apply_reply(&t, late, at(3)));
     assert_eq!(
-        question.of,
+        question.holder,
         holder("c", 1),
         "the late yes to b must not count"
     );
@@ -129,9 +129,9 @@
     let t = a.issue(1, at(0)).remove(0);
     assert!(matches!(a.claim(&t, at(0)), Claim::Granted(_)));
     let (mut again, mut b) = (table("a", 2), table("b", 1));
-    assert_eq!(again.claim(&t, at(1)), Claim::Gone);
-    let reply = again.asked(&ask(b.claim(&t, at(1))), at(1));
-    assert_eq!(b.answered(&t, reply, at(1)), Claim::Gone);
+    assert_eq!(again.claim(&t, at(1)), Claim::Unknown);
+    let reply = again.answer_transfer(&ask(b.claim(&t, at(1))), at(1));
+    assert_eq!(b.apply_reply(&t, reply, at(1)), Claim::Unknown);
 }
 
 #[test]
@@ -140,11 +140,11 @@
     // The first may have used an earlier copy of it.
     let (mut a, mut b) = (table("a", 1), table("b", 1));
     let t = a.issue(1, at(0)).remove(0);
-    let reply = a.asked(&ask(b.claim(&t, at(1))), at(1));
+    let reply = a.answer_transfer(&ask(b.claim(&t, at(1))), at(1));
     let mut again = table("b", 2);
-    assert_eq!(again.answered(&t, reply, at(2)), Claim::Gone);
-    let reply = a.asked(&ask(again.claim(&t, at(3))), at(3));
-    assert_eq!(again.answered(&t, reply, at(3)), Claim::Gone);
+    assert_eq!(again.apply_reply(&t, reply, at(2)), Claim::Unknown);
+    let reply = a.answer_transfer(&ask(again.claim(&t, at(3))), at(3));
+    assert_eq!(again.apply_reply(&t, reply, at(3)), Claim::Unknown);
 }
 
 #[test]
@@ -153,15 +153,15 @@
     // somewhere, arrives only then, while a frozen issuer still takes the ticket for young.
     let (mut a, mut b) = (table("a", 1), table("b", 1));
     let t = a.issue(1, at(0)).remove(0);
-    let yes = a.asked(&ask(b.claim(&t, at(1))), at(1));
-    let Claim::Granted(grant) = b.answered(&t, yes.clone(), at(1)) else {
+    let yes = a.answer_transfer(&ask(b.claim(&t, at(1))), at(1));
+    let Claim::Granted(grant) = b.apply_reply(&t, yes.clone(), at(1)) else {
         panic!("granted");
     };
     b.finish(&grant, Outcome::Answered, None, at(2));
     b.tick(at(3600));
     assert_eq!(b.counts().done, 0);
-    assert_eq!(b.answered(&t, yes, at(3600)), Claim::Gone);
-    assert_eq!(b.claim(&t, at(3600)), Claim::Gone);
+    assert_eq!(b.apply_reply(&t, yes, at(3600)), Claim::Unknown);
+    assert_eq!(b.claim(&t, at(3600)), Claim::Unknown);
 }
 
 #[test]
@@ -175,11 +175,11 @@
         panic!("granted");
     };
     assert_eq!(a.claim(&t, at(1)), Claim::Running);
-    a.unstarted(&first, at(2));
+    a.release(&first, at(2));
     let Claim::Granted(second) = a.claim(&t, at(3)) else {
         panic!("granted again");
     };
-    a.unstarted(&first, at(4));
+    a.release(&first, at(4));
     a.finish(&first, Outcome::Failed, None, at(4));
     assert_eq!(a.claim(&t, at(5)), Claim::Running);
     a.finish(&second, Outcome::Answered, None, at(6));
@@ -200,9 +200,12 @@
     assert_eq!(a.claim(&t, at(200)), Claim::Expired);
     assert_eq!(a.claim(&t, at(100)), Claim::Expired);
     let question = ask(table("b", 1).claim(&t, at(0)));
-    assert_eq!(a.asked(&question, at(200)), Reply::Expired);
+    assert_eq!(
+        a.answer_transfer(&question, at(200)),
+        TransferReply::Expired
+    );
     a.tick(at(3600));
-    assert_eq!(a.claim(&t, at(3600)), Claim::Gone);
+    assert_eq!(a.claim(&t, at(3600)), Claim::Unknown);
 }
 
 #[test]
@@ -220,10 +223,10 @@
         answer: Some(Answer(Arc::from(*b"yes"))),
     };
     assert_eq!(a.claim(&t, at(5)), Claim::Done(record.clone()));
-    let bytes = rmp_serde::to_vec(&Reply::Done(record.clone())).unwrap();
+    let bytes = rmp_serde::to_vec(&TransferReply::Done(record.clone())).unwrap();
     assert_eq!(
-        rmp_serde::from_slice::<Reply>(&bytes).unwrap(),
-        Reply::Done(record)
+        rmp_serde::from_slice::<TransferReply>(&bytes).unwrap(),
+        TransferReply::Done(record)
     );
 }
 
--- a/crates/policy/tests/tickets/world.rs
+++ b/crates/policy/tests/tickets/world.rs
@@ -3,14 +3,14 @@
 use {
     policy::{
         tickets::{
-            Ask,
             Claim,
             Grant,
             Holder,
-            Reply,
             RetentionLimits,
             Ticket,
             Tickets, //
+            TransferReply,
+            TransferRequest,
         },
         Incarnation,
         Outcome,
@@ -83,11 +83,11 @@
 
 #[derive(Debug, Clone)]
 enum Message {
-    Ask(Ask),
+    Request(TransferRequest),
     Reply {
         to: Holder,
         ticket: Ticket,
-        reply: Reply,
+        reply: TransferReply,
     },
 }
 
@@ -181,7 +181,7 @@
                 if let Some(i) = pick(grant, self.stale.len()) {
                     let Open { process, grant, .. } = &self.stale[i];
                     let p = &mut self.processes[*process];
-                    p.tickets.unstarted(grant, p.now);
+                    p.tickets.release(grant, p.now);
                 }
             }
             Step::Finish { grant, outcome } => self.finish(grant, *outcome),
@@ -223,7 +223,7 @@
                     started: false,
                 });
             }
-            Claim::Ask(ask) => self.wire.push(Message::Ask(ask)),
+            Claim::AskHolder(request) => self.wire.push(Message::Request(request)),
             Claim::Done(record) => {
                 assert_eq!(truth.starts, 1, "{t} is called done and never ran");
                 assert!(truth.outcomes.contains(&record.outcome));
@@ -232,7 +232,7 @@
                 assert_eq!(truth.starts, 0, "{t} is called expired and ran");
                 truth.never = true;
             }
-            Claim::Running | Claim::Gone => {}
+            Claim::Running | Claim::Unknown => {}
         }
     }
 
@@ -242,7 +242,7 @@
         };
         let m = self.wire[i].clone();
         let router = match &m {
-            Message::Ask(ask) => &ask.of.router,
+            Message::Request(request) => &request.holder.router,
             Message::Reply { to, .. } => &to.router,
         };
         // An old process that was only paused may get it as well as the present one.
@@ -254,16 +254,16 @@
         };
         let Process { tickets, now, .. } = &mut self.processes[p];
         match m {
-            Message::Ask(ask) => {
-                let reply = tickets.asked(&ask, *now);
+            Message::Request(request) => {
+                let reply = tickets.answer_transfer(&request, *now);
                 self.wire.push(Message::Reply {
-                    to: ask.by.clone(),
-                    ticket: ask.ticket,
+                    to: request.requester.clone(),
+                    ticket: request.ticket,
                     reply,
                 });
             }
             Message::Reply { ticket, reply, .. } => {
-                let claim = tickets.answered(&ticket, reply, *now);
+                let claim = tickets.apply_reply(&ticket, reply, *now);
                 self.told(p, &ticket, claim);
             }
         }
@@ -295,7 +295,7 @@
             return;
         }
         assert_eq!(self.truth[open.grant.ticket()].starts, 0);
-        p.tickets.unstarted(&open.grant, p.now);
+        p.tickets.release(&open.grant, p.now);
         let open = self.open.remove(i);
         self.stale.push(open);
     }
--- a/src/router/claims.rs
+++ b/src/router/claims.rs
@@ -22,12 +22,12 @@
     policy::{
         members::State,
         tickets::{
-            Ask,
             Claim,
             Grant,
             Record,
-            Reply,
             Ticket, //
+            TransferReply,
+            TransferRequest,
         },
         Outcome,
         RouterId, //
@@ -113,27 +113,27 @@
         for _ in 0..HOPS {
             let ask = match claim {
                 Claim::Granted(grant) => return Ok(grant),
-                Claim::Ask(ask) => ask,
+                Claim::AskHolder(ask) => ask,
                 other => return Err(Box::new(told(other, work.print()))),
             };
             let Some(reply) = self.ask_holder(&ask, work.deadline).await else {
                 return Err(Box::new(self.silent_holder(&ask)));
             };
             let now = self.now();
-            claim = lock(&self.tickets).answered(&ticket, reply, now);
+            claim = lock(&self.tickets).apply_reply(&ticket, reply, now);
         }
         Err(refuse(Why::TicketOrphaned, ORPHANED))
     }
 
-    async fn ask_holder(&self, ask: &Ask, deadline: Instant) -> Option<Reply> {
+    async fn ask_holder(&self, ask: &TransferRequest, deadline: Instant) -> Option<TransferReply> {
         for _ in 0..TRIES {
             let bound = ASK.min(deadline.saturating_duration_since(Instant::now()));
-            let addr = self.addr_of(&ask.of.router)?;
+            let addr = self.addr_of(&ask.holder.router)?;
             let question = Question::Ticket(ask.clone());
             match self.links.ask(addr, &question, bound).await {
                 Ok(Answer::Ticket(reply)) => return Some(reply),
                 Ok(_) => return None,
-                Err(e) => log::debug!("peers: {} about a ticket: {e}", ask.of.router),
+                Err(e) => log::debug!("peers: {} about a ticket: {e}", ask.holder.router),
             }
         }
         None
@@ -143,11 +143,11 @@
     ///
     /// A holder that is paused or cut off may come back and know, also after it was taken for
     /// dead; one that left, or was started again, never will.
-    fn silent_holder(&self, ask: &Ask) -> Response {
+    fn silent_holder(&self, ask: &TransferRequest) -> Response {
         let refused = Refused::new(Why::TicketOrphaned, ORPHANED);
         let members = lock(&self.members);
-        let holder = members.get(&ask.of.router);
-        let same = holder.filter(|m| m.incarnation == ask.of.incarnation);
+        let holder = members.get(&ask.holder.router);
+        let same = holder.filter(|m| m.incarnation == ask.holder.incarnation);
         match same.is_some_and(|m| m.state != State::Left) {
             true => refused.retry_after(HOLDER_BACK).into(),
             false => refused.into(),
@@ -170,7 +170,7 @@
     /// Gives a ticket back: no byte of its request was written to an endpoint.
     pub(crate) fn unstarted(&self, grant: &Grant) {
         let now = self.now();
-        lock(&self.tickets).unstarted(grant, now);
+        lock(&self.tickets).release(grant, now);
     }
 }
 
@@ -199,7 +199,7 @@
             Why::TicketExpired,
             "the ticket expired unused; ask for a new one",
         ),
-        Claim::Gone | Claim::Granted(_) | Claim::Ask(_) => Refused::new(
+        Claim::Unknown | Claim::Granted(_) | Claim::AskHolder(_) => Refused::new(
             Why::TicketOrphaned,
             "nobody remembers this ticket any more, so the request may have run; look \
              whether it did before you ask for a new one",
--- a/src/router/inbox.rs
+++ b/src/router/inbox.rs
@@ -59,7 +59,7 @@
             }
             Question::Ticket(ask) => {
                 let now = router.now();
-                Answer::Ticket(lock(&router.tickets).asked(&ask, now))
+                Answer::Ticket(lock(&router.tickets).answer_transfer(&ask, now))
             }
             Question::Config(have) => Answer::Config(router.config_above(have).map(Box::new)),
             Question::List(have) => Answer::List(router.list_beyond(have).map(Box::new)),
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -12,8 +12,8 @@
             Intro, //
         },
         tickets::{
-            Ask,
-            Reply, //
+            TransferReply, //
+            TransferRequest,
         },
         Message,
         ReplicaId,
@@ -42,7 +42,7 @@
     /// Who is there? Asked of an address that the settings name.
     Hello(Known),
     /// May I start the request of this ticket?
-    Ticket(Ask),
+    Ticket(TransferRequest),
     /// The configuration, if it is above this revision.
     Config(Revision),
     /// The list of instances, if it is another than this revision.
@@ -55,7 +55,7 @@
     /// The routers that the one asked knows, itself among them.
     Hello(Vec<Known>),
     /// What came of the ticket.
-    Ticket(Reply),
+    Ticket(TransferReply),
     /// The configuration.
     Config(Option<Box<Delta>>),
     /// The list of instances.
