--- a/crates/policy/src/head/mod.rs
+++ b/crates/policy/src/head/mod.rs
@@ -7,10 +7,10 @@
 pub use self::{
     revision::{
         Decision,
+        FetchOutcome,
         Hash,
         Revision,
-        Source,
-        Taken, //
+        Source, //
     },
     table::Head,
     watchers::{
--- a/crates/policy/src/head/revision.rs
+++ b/crates/policy/src/head/revision.rs
@@ -68,7 +68,7 @@
 
 /// What became of a fetched revision.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Taken {
+pub enum FetchOutcome {
     /// It is in force now.
     InForce,
     /// It is not higher than the one in force, which stays.
--- a/crates/policy/src/head/table.rs
+++ b/crates/policy/src/head/table.rs
@@ -3,10 +3,10 @@
 use {
     super::{
         Decision,
+        FetchOutcome,
         Hash,
         Revision,
-        Source,
-        Taken, //
+        Source, //
     },
     crate::{
         Span,
@@ -28,14 +28,14 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{head::{Decision, Hash, Head, Revision, Source, Taken}, Time};
+/// use policy::{head::{Decision, FetchOutcome, Hash, Head, Revision, Source}, Time};
 ///
 /// let mut head = Head::new(Time(0));
 /// assert!(!head.ready());
 /// let offer = head.offer(Revision(3), Source::Platform, Time(1));
 /// assert!(matches!(offer, Decision::Fetch { .. }));
-/// assert_eq!(head.fetched(Revision(3), Hash(7), Time(2)), Taken::InForce);
-/// assert_eq!(head.fetched(Revision(2), Hash(6), Time(3)), Taken::Old);
+/// assert_eq!(head.fetched(Revision(3), Hash(7), Time(2)), FetchOutcome::InForce);
+/// assert_eq!(head.fetched(Revision(2), Hash(6), Time(3)), FetchOutcome::Old);
 /// assert_eq!(head.revision(), Some(Revision(3)));
 /// ```
 #[derive(Debug)]
@@ -111,15 +111,15 @@
     }
 
     /// Takes a revision that was fetched and found valid.
-    pub fn fetched(&mut self, revision: Revision, hash: Hash, now: Time) -> Taken {
+    pub fn fetched(&mut self, revision: Revision, hash: Hash, now: Time) -> FetchOutcome {
         match self.force {
             Some((ours, h)) if revision == ours && hash != h => {
-                return Taken::Conflict {
+                return FetchOutcome::Conflict {
                     ours: h,
                     theirs: hash,
                 }
             }
-            Some((ours, _)) if revision <= ours => return Taken::Old,
+            Some((ours, _)) if revision <= ours => return FetchOutcome::Old,
             _ => {}
         }
         self.force = Some((revision, hash));
@@ -128,7 +128,7 @@
         if self.asked.as_ref().is_some_and(|a| a.revision <= revision) {
             self.asked = None;
         }
-        Taken::InForce
+        FetchOutcome::InForce
     }
 
     /// Notes that a fetch failed, or brought an invalid text; returns where to try next.
--- a/crates/policy/tests/head/fuzz.rs
+++ b/crates/policy/tests/head/fuzz.rs
@@ -5,11 +5,11 @@
     policy::{
         head::{
             Decision,
+            FetchOutcome,
             Hash,
             Head,
             Revision,
-            Source,
-            Taken, //
+            Source, //
         },
         Span,
         Time, //
@@ -132,7 +132,7 @@
             Some(r) => {
                 let higher = self.heads[i].revision().is_none_or(|h| r > h);
                 let taken = self.heads[i].fetched(r, Hash(r.0), self.now);
-                assert_eq!(taken == Taken::InForce, higher);
+                assert_eq!(taken == FetchOutcome::InForce, higher);
             }
             None => {
                 let d = self.heads[i].failed(&from, self.now);
--- a/crates/policy/tests/head/main.rs
+++ b/crates/policy/tests/head/main.rs
@@ -8,11 +8,11 @@
     head::{
         watchers,
         Decision,
+        FetchOutcome,
         Hash,
         Head,
         Revision,
-        Source,
-        Taken, //
+        Source, //
     },
     members::{
         Intro,
@@ -48,8 +48,11 @@
         theirs: Revision(90),
     };
     assert_eq!(head.offer(Revision(90), Source::Platform, Time(1)), stale);
-    assert_eq!(head.fetched(Revision(90), Hash(2), Time(2)), Taken::Old);
-    let conflict = Taken::Conflict {
+    assert_eq!(
+        head.fetched(Revision(90), Hash(2), Time(2)),
+        FetchOutcome::Old
+    );
+    let conflict = FetchOutcome::Conflict {
         ours: Hash(1),
         theirs: Hash(2),
     };
@@ -57,7 +60,7 @@
     assert_eq!(head.hash(), Some(Hash(1)));
     assert_eq!(
         head.fetched(Revision(101), Hash(3), Time(4)),
-        Taken::InForce
+        FetchOutcome::InForce
     );
 }
 
@@ -76,7 +79,10 @@
         Decision::Ignore
     );
     assert_eq!(head.failed(&peer("a"), Time(3)), fetch(8, peer("b")));
-    assert_eq!(head.fetched(Revision(8), Hash(8), Time(4)), Taken::InForce);
+    assert_eq!(
+        head.fetched(Revision(8), Hash(8), Time(4)),
+        FetchOutcome::InForce
+    );
     assert_eq!(head.tick(Time(5)), fetch(9, peer("a")));
 }
 
--- a/src/router/config.rs
+++ b/src/router/config.rs
@@ -31,9 +31,9 @@
     policy::{
         head::{
             Decision,
+            FetchOutcome,
             Revision,
-            Source,
-            Taken, //
+            Source, //
         },
         RouterId,
         Span,
@@ -216,9 +216,9 @@
         let revision = config.revision;
         let hash = delta::hash(&config.parts);
         match force.head.fetched(revision, hash, self.clock.now()) {
-            Taken::InForce => {}
-            Taken::Old => return true,
-            Taken::Conflict { ours, theirs } => {
+            FetchOutcome::InForce => {}
+            FetchOutcome::Old => return true,
+            FetchOutcome::Conflict { ours, theirs } => {
                 log::error!(
                     "config: {from} has another text ({theirs}) under revision {revision} \
                      than the one in force ({ours}), which stays; apply the change again"
