--- a/crates/policy/src/head/mod.rs
+++ b/crates/policy/src/head/mod.rs
@@ -15,6 +15,6 @@
     table::Head,
     watchers::{
         watchers,
-        WATCHERS, //
+        WATCHER_COUNT, //
     },
 };
--- a/crates/policy/src/head/watchers.rs
+++ b/crates/policy/src/head/watchers.rs
@@ -7,7 +7,7 @@
 };
 
 /// How many routers watch one key, so that one may fail unnoticed.
-pub const WATCHERS: usize = 3;
+pub const WATCHER_COUNT: usize = 3;
 
 /// Returns the `k` routers that watch `key`, the same at every router with the same view.
 ///
--- a/src/router/list.rs
+++ b/src/router/list.rs
@@ -24,7 +24,7 @@
     policy::{
         head::{
             watchers,
-            WATCHERS, //
+            WATCHER_COUNT, //
         },
         members::{
             self,
@@ -102,7 +102,7 @@
     /// Tells whether this router is one of those that watch a key on the platform.
     pub(crate) fn watches(&self, key: &str) -> bool {
         let view = lock(&self.members).view();
-        watchers(&view, key, WATCHERS).contains(&self.me.router)
+        watchers(&view, key, WATCHER_COUNT).contains(&self.me.router)
     }
 
     /// Learns from a heartbeat which list a peer has.
@@ -159,7 +159,7 @@
     /// behind has caught up after a poll or two.
     fn numbered_anew(&self, from: &RouterId, ours: u64) -> bool {
         let view = lock(&self.members).view();
-        let ids = watchers(&view, "list", WATCHERS);
+        let ids = watchers(&view, "list", WATCHER_COUNT);
         let reads = |m: &&Member| ids.contains(&m.id) && m.id != self.me.router && !m.no_platform;
         let readers: Vec<&Member> = view.iter().filter(reads).collect();
         let above = readers.iter().all(|m| m.list > 0 && m.list < ours);
--- a/tests/proofs/config.rs
+++ b/tests/proofs/config.rs
@@ -23,7 +23,7 @@
     },
     operators::FLEET,
     policy::{
-        head::WATCHERS,
+        head::WATCHER_COUNT,
         rendezvous,
         Outcome, //
     },
@@ -262,7 +262,7 @@
 /// Returns which routers watch a key of the platform, and which don't.
 fn watching(fleet: &Fleet, key: &str) -> (Vec<usize>, Vec<usize>) {
     let all = fleet.routers.iter().enumerate();
-    let top = rendezvous::top(key, all, WATCHERS, |(_, r)| r.name.as_str());
+    let top = rendezvous::top(key, all, WATCHER_COUNT, |(_, r)| r.name.as_str());
     let watch: Vec<usize> = top.into_iter().map(|(n, _)| n).collect();
     let rest = (0..fleet.routers.len()).filter(|n| !watch.contains(n));
     (watch.clone(), rest.collect())
--- a/tests/proofs/platform.rs
+++ b/tests/proofs/platform.rs
@@ -18,7 +18,7 @@
         Options, //
     },
     operators::FLEET,
-    policy::head::WATCHERS,
+    policy::head::WATCHER_COUNT,
     standins::platform::{
         Down,
         State, //
@@ -73,14 +73,17 @@
         let begin = Instant::now();
         wait_for("the platform was asked often", || {
             let kinds = ["watch", "list"];
-            let least = COUNTED * routers.min(WATCHERS) as u64;
+            let least = COUNTED * routers.min(WATCHER_COUNT) as u64;
             let enough = |kind| fleet.platform.calls(kind) >= least;
             kinds.into_iter().all(enough).then_some(())
         });
         let took = begin.elapsed().as_secs_f64();
         let calls = calls(&fleet);
         for (kind, by) in &calls {
-            assert!(by.len() <= WATCHERS, "{routers} routers: {kind} {by:?}");
+            assert!(
+                by.len() <= WATCHER_COUNT,
+                "{routers} routers: {kind} {by:?}"
+            );
             let sum: u64 = by.values().sum();
             let rate = sum as f64 / took;
             println!(
@@ -169,7 +172,7 @@
     println!("the configuration is written back after {took:?}");
     wait_for("the empty list was read", || {
         let polled = fleet.platform.calls("list");
-        (polled >= 2 * WATCHERS as u64).then_some(())
+        (polled >= 2 * WATCHER_COUNT as u64).then_some(())
     });
     load.wait_answered(CALLERS);
     fleet.list_all();
