--- a/crates/policy/src/members/mod.rs
+++ b/crates/policy/src/members/mod.rs
@@ -31,7 +31,7 @@
     },
     params::MembershipParams,
     table::{
-        LocalStatus, //
-        Members,
+        LocalStatus,
+        Members, //
     },
 };
--- a/crates/policy/src/members/news.rs
+++ b/crates/policy/src/members/news.rs
@@ -7,8 +7,8 @@
         GossipUpdate,
         Heartbeat,
         Members,
-        ReportedState, //
-        State,
+        ReportedState,
+        State, //
     },
     crate::{
         Incarnation,
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -9,8 +9,8 @@
         Listed,
         Member,
         MembershipParams,
-        ReportedState, //
-        State,
+        ReportedState,
+        State, //
     },
     crate::{
         Incarnation,
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -12,8 +12,8 @@
         Listed,
         Member,
         MembershipParams,
-        ReportedState, //
-        State,
+        ReportedState,
+        State, //
     },
     crate::{
         Incarnation,
--- a/crates/policy/src/tickets/mod.rs
+++ b/crates/policy/src/tickets/mod.rs
@@ -20,8 +20,8 @@
         Claim,
         Grant,
         Record,
-        TransferReply, //
-        TransferRequest,
+        TransferReply,
+        TransferRequest, //
     },
     table::{
         Counts,
--- a/crates/policy/src/tickets/table.rs
+++ b/crates/policy/src/tickets/table.rs
@@ -14,8 +14,8 @@
         Grant,
         Holder,
         Record,
-        Ticket, //
-        TransferRequest,
+        Ticket,
+        TransferRequest, //
     },
     crate::{
         Outcome,
--- a/crates/policy/src/tickets/transfer.rs
+++ b/crates/policy/src/tickets/transfer.rs
@@ -5,9 +5,9 @@
         entry::State,
         Claim,
         Ticket,
-        Tickets, //
+        Tickets,
         TransferReply,
-        TransferRequest,
+        TransferRequest, //
     },
     crate::Time, //
 };
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -14,8 +14,8 @@
             Member,
             Members,
             MembershipParams,
-            ReportedState, //
-            State,
+            ReportedState,
+            State, //
         },
         Incarnation,
         Span,
--- a/crates/policy/tests/tickets/stories.rs
+++ b/crates/policy/tests/tickets/stories.rs
@@ -10,9 +10,9 @@
             RetentionLimits,
             Ticket,
             TicketError,
-            Tickets, //
+            Tickets,
             TransferReply,
-            TransferRequest,
+            TransferRequest, //
         },
         Incarnation,
         Outcome,
--- a/crates/policy/tests/tickets/world.rs
+++ b/crates/policy/tests/tickets/world.rs
@@ -8,9 +8,9 @@
             Holder,
             RetentionLimits,
             Ticket,
-            Tickets, //
+            Tickets,
             TransferReply,
-            TransferRequest,
+            TransferRequest, //
         },
         Incarnation,
         Outcome,
--- a/src/router/claims.rs
+++ b/src/router/claims.rs
@@ -25,9 +25,9 @@
             Claim,
             Grant,
             Record,
-            Ticket, //
+            Ticket,
             TransferReply,
-            TransferRequest,
+            TransferRequest, //
         },
         Outcome,
         RouterId, //
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -12,8 +12,8 @@
             Intro, //
         },
         tickets::{
-            TransferReply, //
-            TransferRequest,
+            TransferReply,
+            TransferRequest, //
         },
         Message,
         ReplicaId,
