--- a/crates/policy/src/dispatch/exchange.rs
+++ b/crates/policy/src/dispatch/exchange.rs
@@ -153,7 +153,7 @@
             return;
         };
         let writer = Writer::of(&to, peer.incarnation);
-        let Some(n) = entry.ledger.notes(entry.key, writer, relay) else {
+        let Some(n) = entry.ledger.usage_updates(entry.key, writer, relay) else {
             return;
         };
         self.pacer.spend(n.size());
--- a/crates/policy/src/dispatch/message.rs
+++ b/crates/policy/src/dispatch/message.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         entry::ReplicaKey,
-        shares::Notes,
+        shares::UsageUpdates,
         Span, //
     },
     serde::{
@@ -29,7 +29,7 @@
     /// From the owner of a pool to a router.
     Lend(Lend),
     /// Between any two routers: how much service workspaces received.
-    Notes(Notes),
+    Notes(UsageUpdates),
 }
 
 /// What a router holds and what waits at it.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -88,7 +88,7 @@
     shares::{
         gap_bound,
         GapTerms,
-        Notes, //
+        UsageUpdates, //
     },
     time::{
         Span,
--- a/crates/policy/src/shares/gossip.rs
+++ b/crates/policy/src/shares/gossip.rs
@@ -4,10 +4,10 @@
     super::{
         account::Part,
         ledger::Friend,
-        notes::{
-            Note,
-            Notes,
-            Relay, //
+        usage_updates::{
+            Relay,
+            UsageUpdate,
+            UsageUpdates, //
         },
         Account,
         Key,
@@ -18,7 +18,7 @@
 };
 
 /// Most counts in one message.
-const NOTES: usize = 128;
+const MAX_UPDATES: usize = 128;
 
 impl Ledger {
     /// Returns whether a router has not acknowledged anything yet.
@@ -35,18 +35,23 @@
     /// Returns what a router should be told, if there is anything.
     ///
     /// `relay` says whether this router is the one to tell a new one of all others.
-    pub(crate) fn notes(&mut self, service: u32, to: Writer, relay: bool) -> Option<Notes> {
+    pub(crate) fn usage_updates(
+        &mut self,
+        service: u32,
+        to: Writer,
+        relay: bool,
+    ) -> Option<UsageUpdates> {
         let f = self.friends.get(&to)?;
         let acked = f.acked;
         let changed = self.changes.range(acked + 1..);
         let count = changed.clone().count();
-        let rev = match changed.clone().nth(NOTES - 1) {
-            Some((rev, _)) if count > NOTES => *rev,
+        let rev = match changed.clone().nth(MAX_UPDATES - 1) {
+            Some((rev, _)) if count > MAX_UPDATES => *rev,
             _ => self.rev,
         };
-        let notes: Vec<Note> = changed
-            .take(NOTES)
-            .map(|(_, key)| self.note(*key, acked))
+        let updates: Vec<UsageUpdate> = changed
+            .take(MAX_UPDATES)
+            .map(|(_, key)| self.usage_update(*key, acked))
             .collect();
         let others = match relay && f.acked == 0 {
             true => self.others(to),
@@ -64,23 +69,23 @@
         let rev = rev.max(1);
         let f = self.friends.get_mut(&to)?;
         f.told = f.seen;
-        Some(Notes {
+        Some(UsageUpdates {
             service,
             to: to.0 as u32,
             seen: f.seen,
             rev,
             floor: self.floor,
-            notes,
+            updates,
             others,
             shifts,
         })
     }
 
     /// Returns this router's count of a workspace, for one that has seen it up to `acked`.
-    fn note(&self, key: Key, acked: u64) -> Note {
+    fn usage_update(&self, key: Key, acked: u64) -> UsageUpdate {
         let a = &self.accounts[&key];
         let part = a.parts.get(&self.me).copied().unwrap_or_default();
-        Note {
+        UsageUpdate {
             key,
             charged: part.charged,
             waits: part.waits,
@@ -108,7 +113,7 @@
     /// Takes in what another router tells.
     ///
     /// The owner of the pool gives the debt that its workspaces may have.
-    pub(crate) fn merge(&mut self, from: Writer, n: Notes, debt: Option<i64>) {
+    pub(crate) fn merge(&mut self, from: Writer, n: UsageUpdates, debt: Option<i64>) {
         let Some(f) = self.friends.get_mut(&from) else {
             return;
         };
@@ -116,24 +121,27 @@
             f.acked = f.acked.max(n.seen);
         }
         f.seen = f.seen.max(n.rev);
-        f.known |= f.live && n.notes.len() < NOTES;
+        f.known |= f.live && n.updates.len() < MAX_UPDATES;
         self.floor = self.floor.max(n.floor);
-        for note in n.notes {
-            let waited = self.accounts.get(&note.key).is_some_and(|a| self.waits(a));
-            let account = self.accounts.entry(note.key).or_default();
+        for update in n.updates {
+            let waited = self
+                .accounts
+                .get(&update.key)
+                .is_some_and(|a| self.waits(a));
+            let account = self.accounts.entry(update.key).or_default();
             account.touched = self.now;
-            if let Some((lift, forgiven)) = note.shift {
+            if let Some((lift, forgiven)) = update.shift {
                 account.raise(lift, forgiven);
             }
             let part = Part {
                 rev: n.rev,
-                charged: note.charged,
-                waits: note.waits,
+                charged: update.charged,
+                waits: update.waits,
             };
             account.merge(from, part);
-            self.index(note.key);
-            if let Some(debt) = debt.filter(|_| note.waits && !waited) {
-                self.welcome(note.key, debt);
+            self.index(update.key);
+            if let Some(debt) = debt.filter(|_| update.waits && !waited) {
+                self.welcome(update.key, debt);
             }
         }
         for (key, lift, forgiven) in n.shifts {
--- a/crates/policy/src/shares/mod.rs
+++ b/crates/policy/src/shares/mod.rs
@@ -5,10 +5,10 @@
 mod gossip;
 mod key;
 mod ledger;
-mod notes;
 mod table;
 #[cfg(test)]
 mod tests;
+mod usage_updates;
 
 pub(crate) use self::{
     account::Account,
@@ -27,5 +27,5 @@
         gap_bound,
         GapTerms, //
     },
-    notes::Notes, //
+    usage_updates::UsageUpdates, //
 };
--- a/crates/policy/src/shares/tests.rs
+++ b/crates/policy/src/shares/tests.rs
@@ -25,7 +25,7 @@
 
 /// Tells one ledger what the other owes it.
 fn tell(from: &mut Ledger, to: &mut Ledger, ids: (Writer, Writer), relay: bool) {
-    let n = from.notes(0, ids.1, relay).unwrap();
+    let n = from.usage_updates(0, ids.1, relay).unwrap();
     to.merge(ids.0, n, Some(DEBT));
 }
 
@@ -35,9 +35,9 @@
     // back to what an older message says.
     let (mut a, mut b) = ledgers();
     a.charge(Key(7), 100);
-    let first = a.notes(0, B, false).unwrap();
+    let first = a.usage_updates(0, B, false).unwrap();
     a.charge(Key(7), -40);
-    let second = a.notes(0, B, false).unwrap();
+    let second = a.usage_updates(0, B, false).unwrap();
     for n in [second.clone(), first, second] {
         b.merge(A, n, None);
     }
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn notes_relay_all() {
+fn usage_updates_relay_all() {
     // A router comes back empty after another one has died. It needs the counts of the dead,
     // and what they lifted, or its workspaces would all look new.
     let (mut a, mut b) = ledgers();
--- a/crates/policy/src/shares/notes.rs
+++ b/crates/policy/src/shares/usage_updates.rs
@@ -13,7 +13,7 @@
 
 /// Counts that changed since the receiver last said what it has seen.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Notes {
+pub struct UsageUpdates {
     pub(crate) service: u32,
     /// The receiver's start that `seen` is about.
     pub(crate) to: u32,
@@ -23,7 +23,8 @@
     pub(crate) rev: u64,
     /// Level of the least backlogged workspace when there last was any.
     pub(crate) floor: i64,
-    pub(crate) notes: Vec<Note>,
+    #[serde(rename = "notes")]
+    pub(crate) updates: Vec<UsageUpdate>,
     /// Counts of other routers, for a receiver that is new.
     pub(crate) others: Vec<(Writer, Vec<Relay>)>,
     /// What all routers lifted and forgave, for a receiver that is new.
@@ -33,17 +34,17 @@
 /// Rough bytes of a message, of each count in it, and of each that is relayed.
 const SIZES: (usize, usize, usize) = (24, 16, 20);
 
-impl Notes {
+impl UsageUpdates {
     /// Returns roughly how many bytes it takes on the wire.
     pub(crate) fn size(&self) -> usize {
         let relays: usize = self.others.iter().map(|o| o.1.len()).sum();
-        SIZES.0 + SIZES.1 * self.notes.len() + SIZES.2 * (relays + self.shifts.len())
+        SIZES.0 + SIZES.1 * self.updates.len() + SIZES.2 * (relays + self.shifts.len())
     }
 }
 
 /// The sender's count of one workspace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Note {
+pub(crate) struct UsageUpdate {
     pub(crate) key: Key,
     pub(crate) charged: i64,
     pub(crate) waits: bool,
