--- a/crates/policy/src/dispatch/dump.rs
+++ b/crates/policy/src/dispatch/dump.rs
@@ -115,7 +115,7 @@
             .map(|(key, q)| QueueDump {
                 workspace: q.workspace.clone(),
                 queued: q.len(),
-                service: Units(entry.ledger.level(*key) as f64 / 1000.0),
+                service: Units(entry.ledger.virtual_time(*key) as f64 / 1000.0),
             })
             .collect(),
         replicas: entry
--- a/crates/policy/src/dispatch/exchange.rs
+++ b/crates/policy/src/dispatch/exchange.rs
@@ -61,7 +61,7 @@
             }
             Message::Lend(l) => {
                 for (key, level) in entry.hold.levels(from, incarnation, &l) {
-                    entry.ledger.hear(key, level, now);
+                    entry.ledger.set_owner_view(key, level, now);
                 }
                 entry
                     .hold
@@ -137,7 +137,7 @@
                 }
                 let writer = Writer::of(id, p.incarnation);
                 let relay = entry.ledger.is_new(writer) && self.relays_to(id, live);
-                if entry.ledger.owes(writer, relay) {
+                if entry.ledger.has_updates_for(writer, relay) {
                     let told = entry.mates.told(id).unwrap_or_default();
                     due.push((told, service.clone(), id.clone(), relay));
                 }
@@ -227,7 +227,7 @@
 
     /// Does what is due now and then.
     fn tend(&mut self, place: &Place, now: Time) {
-        self.ledger.watch(now);
+        self.ledger.tick(now);
         if let Some(pool) = &self.pool {
             if let Some(debt) = pool.debt(&self.rules) {
                 self.ledger.forgive(debt);
--- a/crates/policy/src/dispatch/ranks.rs
+++ b/crates/policy/src/dispatch/ranks.rs
@@ -128,7 +128,7 @@
 impl Entry {
     /// Finds out who owns the service's pool and who deals with it.
     fn rank(&mut self, service: &ServiceId, view: &View<'_>, now: Time) {
-        self.ledger.set_friends(&view.friends);
+        self.ledger.set_peers(&view.friends);
         let homes = view.first(service, &view.live, HOMES);
         self.hold.home = homes.contains(&&view.me.id);
         let others = homes.iter().filter(|id| ***id != view.me.id);
--- a/crates/policy/src/entry/core.rs
+++ b/crates/policy/src/entry/core.rs
@@ -186,7 +186,7 @@
         let running = |key: Key| queues.get(&key).map_or(0, |q| q.charged);
         for key in queues.iter().filter(|q| !q.1.is_empty()).map(|q| *q.0) {
             self.ledger.activate(key, credit, running);
-            self.ledger.set_waits(key, true);
+            self.ledger.set_backlogged(key, true);
         }
     }
 
@@ -215,7 +215,7 @@
         for (key, q) in &self.queues {
             let calm = q.waited.is_none_or(|t| now.since(t) >= CALM);
             if q.is_empty() && calm {
-                self.ledger.set_waits(*key, false);
+                self.ledger.set_backlogged(*key, false);
             }
         }
         self.queues
--- a/crates/policy/src/entry/pick.rs
+++ b/crates/policy/src/entry/pick.rs
@@ -80,7 +80,7 @@
             .iter()
             .filter_map(|(k, q)| {
                 Some((
-                    self.ledger.level(*k),
+                    self.ledger.virtual_time(*k),
                     lives[q.places.first()?.2].job.urgency,
                     *k,
                 ))
--- a/crates/policy/src/entry/refuse.rs
+++ b/crates/policy/src/entry/refuse.rs
@@ -40,7 +40,10 @@
             return (left <= expect).then_some((Refusal::Late, AFTER_UNKNOWN));
         };
         queue.pass(now);
-        let most = self.ledger.queue_of(live.key).unwrap_or(self.rules.queue);
+        let most = self
+            .ledger
+            .queue_limit(live.key)
+            .unwrap_or(self.rules.queue);
         if queue.len() >= most {
             let after = queue.drain.wait(queue.len().div_ceil(2));
             return Some((Refusal::QueueFull, clamp(after)));
--- a/crates/policy/src/pool/owner.rs
+++ b/crates/policy/src/pool/owner.rs
@@ -321,7 +321,7 @@
                 out.push((id.clone(), common.ask_all(term)));
             } else if b.heard() && b.state != PeerState::Suspect {
                 let writer = Writer::of(id, b.incarnation);
-                let level = |w: &Wait| ledger.level_without(w.key, writer);
+                let level = |w: &Wait| ledger.virtual_time_without(w.key, writer);
                 let local = id == me;
                 let open = local || self.bucket.open() && b.rested(now);
                 let mut lend = b.lend_due(&common, &self.lots, level, open, now);
--- a/crates/policy/src/pool/wants.rs
+++ b/crates/policy/src/pool/wants.rs
@@ -44,7 +44,7 @@
         let list: Vec<Row> = rows
             .iter()
             .map(|(key, demand)| Row {
-                level: ledger.level(*key) as f64,
+                level: ledger.virtual_time(*key) as f64,
                 share: ledger.share(*key).get(),
                 demand: *demand,
             })
--- a/crates/policy/src/shares/gossip.rs
+++ b/crates/policy/src/shares/gossip.rs
@@ -2,8 +2,8 @@
 
 use {
     super::{
-        account::Part,
-        ledger::Friend,
+        account::RouterCount,
+        ledger::PeerSync,
         usage_updates::{
             Relay,
             UsageUpdate,
@@ -23,13 +23,14 @@
 impl Ledger {
     /// Returns whether a router has not acknowledged anything yet.
     pub(crate) fn is_new(&self, to: Writer) -> bool {
-        self.friends.get(&to).is_some_and(|f| f.acked == 0)
+        self.peers.get(&to).is_some_and(|f| f.acked == 0)
     }
 
     /// Returns whether there is anything to tell a router.
-    pub(crate) fn owes(&self, to: Writer, relay: bool) -> bool {
-        let owes = |f: &Friend| f.acked < self.rev || f.told != f.seen || relay && f.acked == 0;
-        self.friends.get(&to).is_some_and(owes)
+    pub(crate) fn has_updates_for(&self, to: Writer, relay: bool) -> bool {
+        let pending =
+            |f: &PeerSync| f.acked < self.rev || f.announced != f.seen || relay && f.acked == 0;
+        self.peers.get(&to).is_some_and(pending)
     }
 
     /// Returns what a router should be told, if there is anything.
@@ -41,7 +42,7 @@
         to: Writer,
         relay: bool,
     ) -> Option<UsageUpdates> {
-        let f = self.friends.get(&to)?;
+        let f = self.peers.get(&to)?;
         let acked = f.acked;
         let changed = self.changes.range(acked + 1..);
         let count = changed.clone().count();
@@ -57,7 +58,7 @@
             true => self.others(to),
             false => Vec::new(),
         };
-        let shift = |(key, a): (&Key, &Account)| (*key, a.lift, a.forgiven);
+        let shift = |(key, a): (&Key, &Account)| (*key, a.catch_up, a.forgiven);
         let shifts = match others.is_empty() {
             true => Vec::new(),
             false => self.accounts.iter().map(shift).collect(),
@@ -67,8 +68,8 @@
             self.rev = 1;
         }
         let rev = rev.max(1);
-        let f = self.friends.get_mut(&to)?;
-        f.told = f.seen;
+        let f = self.peers.get_mut(&to)?;
+        f.announced = f.seen;
         Some(UsageUpdates {
             service,
             to: to.0 as u32,
@@ -84,12 +85,12 @@
     /// Returns this router's count of a workspace, for one that has seen it up to `acked`.
     fn usage_update(&self, key: Key, acked: u64) -> UsageUpdate {
         let a = &self.accounts[&key];
-        let part = a.parts.get(&self.me).copied().unwrap_or_default();
+        let part = a.counts.get(&self.me).copied().unwrap_or_default();
         UsageUpdate {
             key,
             charged: part.charged,
-            waits: part.waits,
-            shift: (a.shifted > acked).then_some((a.lift, a.forgiven)),
+            backlogged: part.backlogged,
+            shift: (a.shifted > acked).then_some((a.catch_up, a.forgiven)),
         }
     }
 
@@ -97,7 +98,7 @@
     fn others(&self, to: Writer) -> Vec<(Writer, Vec<Relay>)> {
         let mut out: BTreeMap<Writer, Vec<Relay>> = BTreeMap::new();
         for (key, a) in &self.accounts {
-            for (w, p) in &a.parts {
+            for (w, p) in &a.counts {
                 if *w != self.me && *w != to {
                     out.entry(*w).or_default().push(Relay {
                         key: *key,
@@ -114,48 +115,51 @@
     ///
     /// The owner of the pool gives the debt that its workspaces may have.
     pub(crate) fn merge(&mut self, from: Writer, n: UsageUpdates, debt: Option<i64>) {
-        let Some(f) = self.friends.get_mut(&from) else {
+        let Some(f) = self.peers.get_mut(&from) else {
             return;
         };
         if n.to == self.me.0 as u32 {
             f.acked = f.acked.max(n.seen);
         }
         f.seen = f.seen.max(n.rev);
-        f.known |= f.live && n.updates.len() < MAX_UPDATES;
+        f.synced |= f.live && n.updates.len() < MAX_UPDATES;
         self.floor = self.floor.max(n.floor);
         for update in n.updates {
             let waited = self
                 .accounts
                 .get(&update.key)
-                .is_some_and(|a| self.waits(a));
+                .is_some_and(|a| self.is_backlogged(a));
             let account = self.accounts.entry(update.key).or_default();
             account.touched = self.now;
-            if let Some((lift, forgiven)) = update.shift {
-                account.raise(lift, forgiven);
+            if let Some((catch_up, forgiven)) = update.shift {
+                account.merge_shifts(catch_up, forgiven);
             }
-            let part = Part {
+            let part = RouterCount {
                 rev: n.rev,
                 charged: update.charged,
-                waits: update.waits,
+                backlogged: update.backlogged,
             };
             account.merge(from, part);
-            self.index(update.key);
-            if let Some(debt) = debt.filter(|_| update.waits && !waited) {
-                self.welcome(update.key, debt);
+            self.update_waiting(update.key);
+            if let Some(debt) = debt.filter(|_| update.backlogged && !waited) {
+                self.limit_lag(update.key, debt);
             }
         }
-        for (key, lift, forgiven) in n.shifts {
-            self.accounts.entry(key).or_default().raise(lift, forgiven);
+        for (key, catch_up, forgiven) in n.shifts {
+            self.accounts
+                .entry(key)
+                .or_default()
+                .merge_shifts(catch_up, forgiven);
         }
         for (writer, list) in n.others {
             if writer == self.me {
                 continue;
             }
             for r in list {
-                let part = Part {
+                let part = RouterCount {
                     rev: r.rev,
                     charged: r.charged,
-                    waits: false,
+                    backlogged: false,
                 };
                 self.accounts.entry(r.key).or_default().merge(writer, part);
             }
--- a/crates/policy/src/shares/ledger.rs
+++ b/crates/policy/src/shares/ledger.rs
@@ -21,20 +21,20 @@
 /// Thousandths in one unit.
 pub(crate) const MILLI: f64 = 1000.0;
 /// An idle workspace is forgotten after this time, give or take the time between sweeps.
-const IDLE: Span = Span::secs(600);
-const SWEEP: Span = Span::secs(10);
+const IDLE_TIMEOUT: Span = Span::secs(600);
+const SWEEP_INTERVAL: Span = Span::secs(10);
 /// What the owner told counts for this time.
-const HEARD: Span = Span::millis(1_500);
+const OWNER_VIEW_TTL: Span = Span::millis(1_500);
 
 /// What another router has seen of this one's counts, and the other way round.
 #[derive(Debug, Default)]
-pub(super) struct Friend {
+pub(super) struct PeerSync {
     /// Revision of this router that it has seen.
     pub(super) acked: u64,
     /// Its revision that was seen here.
     pub(super) seen: u64,
     /// What it was last told to be seen.
-    pub(super) told: u64,
+    pub(super) announced: u64,
     /// Whether it is heard from.
     pub(super) live: bool,
     /// Whether its counts are known as they are since it is heard from.
@@ -42,7 +42,7 @@
     /// After a partition the counts of the far side are old. Taken for its level, they
     /// would make its workspaces the least by far, and the others be forgiven what they
     /// never owed.
-    pub(super) known: bool,
+    pub(super) synced: bool,
 }
 
 /// The accounts of all workspaces at one service, as one router knows them.
@@ -55,13 +55,13 @@
     pub(super) accounts: BTreeMap<Key, Account>,
     shares: ShareTable,
     /// The other live routers.
-    pub(super) friends: BTreeMap<Writer, Friend>,
+    pub(super) peers: BTreeMap<Writer, PeerSync>,
     /// Level of the least backlogged workspace when there last was any.
     pub(super) floor: i64,
     /// The workspaces that some router, live or not, last said to wait.
     waiting: BTreeSet<Key>,
     /// What the owner of the pool lately told, and when.
-    heard: BTreeMap<Key, (Time, i64)>,
+    owner_view: BTreeMap<Key, (Time, i64)>,
     /// This router's changes, each workspace once, by revision.
     pub(super) changes: BTreeMap<u64, Key>,
     /// The moment as last told.
@@ -77,10 +77,10 @@
             rev: 0,
             accounts: BTreeMap::new(),
             shares: ShareTable::default(),
-            friends: BTreeMap::new(),
+            peers: BTreeMap::new(),
             floor: 0,
             waiting: BTreeSet::new(),
-            heard: BTreeMap::new(),
+            owner_view: BTreeMap::new(),
             changes: BTreeMap::new(),
             now: Time(0),
             swept: Time(0),
@@ -93,16 +93,16 @@
     }
 
     /// Returns how many requests a workspace may queue, where it has a bound of its own.
-    pub(crate) fn queue_of(&self, key: Key) -> Option<usize> {
+    pub(crate) fn queue_limit(&self, key: Key) -> Option<usize> {
         self.shares.queue(key)
     }
 
     /// Sets which other routers there are, and which are heard from.
-    pub(crate) fn set_friends(&mut self, live: &BTreeMap<Writer, bool>) {
-        self.friends.retain(|w, _| live.contains_key(w));
+    pub(crate) fn set_peers(&mut self, live: &BTreeMap<Writer, bool>) {
+        self.peers.retain(|w, _| live.contains_key(w));
         for (w, live) in live {
-            let f = self.friends.entry(*w).or_default();
-            f.known &= f.live && *live;
+            let f = self.peers.entry(*w).or_default();
+            f.synced &= f.live && *live;
             f.live = *live;
         }
     }
@@ -116,28 +116,28 @@
     ///
     /// What the owner of the pool told counts where it is more: it hears all routers
     /// sooner than they hear each other.
-    pub(crate) fn level(&self, key: Key) -> i64 {
+    pub(crate) fn virtual_time(&self, key: Key) -> i64 {
         let Some(a) = self.accounts.get(&key) else {
             return 0;
         };
-        let level = a.level(self.share(key));
-        match self.heard.get(&key) {
-            Some((_, rest)) => level.max(rest + self.normal(key, a.charged(self.me))),
+        let level = a.virtual_time(self.share(key));
+        match self.owner_view.get(&key) {
+            Some((_, rest)) => level.max(rest + self.normalized(key, a.charged(self.me))),
             None => level,
         }
     }
 
     /// Returns normalised service without what one router counted.
-    pub(crate) fn level_without(&self, key: Key, writer: Writer) -> i64 {
+    pub(crate) fn virtual_time_without(&self, key: Key, writer: Writer) -> i64 {
         match self.accounts.get(&key) {
-            Some(a) => a.level(self.share(key)) - self.normal(key, a.charged(writer)),
+            Some(a) => a.virtual_time(self.share(key)) - self.normalized(key, a.charged(writer)),
             None => 0,
         }
     }
 
     /// Takes in what the owner of the pool says of a workspace, without this router's part.
-    pub(crate) fn hear(&mut self, key: Key, rest: i64, now: Time) {
-        self.heard.insert(key, (now, rest));
+    pub(crate) fn set_owner_view(&mut self, key: Key, rest: i64, now: Time) {
+        self.owner_view.insert(key, (now, rest));
     }
 
     /// Charges an amount, which may be below zero.
@@ -151,20 +151,20 @@
     }
 
     /// Notes whether requests of a workspace wait here.
-    pub(crate) fn set_waits(&mut self, key: Key, waits: bool) {
-        let part = self.accounts.get(&key).and_then(|a| a.parts.get(&self.me));
-        if part.is_some_and(|p| p.waits) == waits {
+    pub(crate) fn set_backlogged(&mut self, key: Key, backlogged: bool) {
+        let part = self.accounts.get(&key).and_then(|a| a.counts.get(&self.me));
+        if part.is_some_and(|p| p.backlogged) == backlogged {
             return;
         }
         let rev = self.touch(key);
         let account = self.accounts.entry(key).or_default();
-        account.set_waits(self.me, rev, waits);
-        self.index(key);
+        account.set_backlogged(self.me, rev, backlogged);
+        self.update_waiting(key);
     }
 
     /// Keeps the list of workspaces that wait anywhere.
-    pub(super) fn index(&mut self, key: Key) {
-        let waits = |a: &Account| a.parts.values().any(|p| p.waits);
+    pub(super) fn update_waiting(&mut self, key: Key) {
+        let waits = |a: &Account| a.counts.values().any(|p| p.backlogged);
         if self.accounts.get(&key).is_some_and(waits) {
             self.waiting.insert(key);
         } else {
@@ -178,26 +178,26 @@
             .waiting
             .iter()
             .filter_map(|k| Some((*k, self.accounts.get(k)?)));
-        accounts.filter(|(_, a)| self.waits(a))
+        accounts.filter(|(_, a)| self.is_backlogged(a))
     }
 
     /// Returns whether requests of a workspace wait at any live router.
-    pub(super) fn waits(&self, account: &Account) -> bool {
-        account.parts.iter().any(|(w, p)| {
-            p.waits && (*w == self.me || self.friends.get(w).is_some_and(|f| f.known))
+    pub(super) fn is_backlogged(&self, account: &Account) -> bool {
+        account.counts.iter().any(|(w, p)| {
+            p.backlogged && (*w == self.me || self.peers.get(w).is_some_and(|f| f.synced))
         })
     }
 
     /// Returns the least level of the backlogged workspaces but one.
-    fn least(&self, but: Option<Key>, running: impl Fn(Key) -> i64) -> Option<i64> {
+    fn min_virtual_time(&self, but: Option<Key>, running: impl Fn(Key) -> i64) -> Option<i64> {
         self.backlogged()
             .filter(|(key, _)| Some(*key) != but)
-            .map(|(key, a)| a.level(self.share(key)) - self.normal(key, running(key)))
+            .map(|(key, a)| a.virtual_time(self.share(key)) - self.normalized(key, running(key)))
             .min()
     }
 
     /// Returns an amount divided by the share of a workspace.
-    fn normal(&self, key: Key, milli: i64) -> i64 {
+    fn normalized(&self, key: Key, milli: i64) -> i64 {
         (milli as f64 / self.share(key).get()) as i64
     }
 
@@ -210,17 +210,21 @@
     /// counts as not yet received, so that a newcomer catches up with those whose
     /// requests took all slots just before it came.
     pub(crate) fn activate(&mut self, key: Key, credit: i64, running: impl Fn(Key) -> i64) {
-        if self.accounts.get(&key).is_some_and(|a| self.waits(a)) {
+        if self
+            .accounts
+            .get(&key)
+            .is_some_and(|a| self.is_backlogged(a))
+        {
             return;
         }
-        let level = self.level(key);
-        let least = self.least(Some(key), &running);
+        let level = self.virtual_time(key);
+        let least = self.min_virtual_time(Some(key), &running);
         let low = least.unwrap_or(self.floor) - credit;
         if level < low {
             self.shift(key, low - level);
         }
         if let Some(high) = least.map(|l| l + credit) {
-            let received = level - self.normal(key, running(key));
+            let received = level - self.normalized(key, running(key));
             if received > high {
                 self.shift(key, high - received);
             }
@@ -228,14 +232,15 @@
     }
 
     /// Notes how far the least backlogged workspace is, and forgets idle ones.
-    pub(crate) fn watch(&mut self, now: Time) {
+    pub(crate) fn tick(&mut self, now: Time) {
         self.now = now;
-        if now.since(self.swept) >= SWEEP {
+        if now.since(self.swept) >= SWEEP_INTERVAL {
             self.swept = now;
             self.sweep();
         }
-        self.heard.retain(|_, (at, _)| now.since(*at) < HEARD);
-        if let Some(least) = self.least(None, |_| 0) {
+        self.owner_view
+            .retain(|_, (at, _)| now.since(*at) < OWNER_VIEW_TTL);
+        if let Some(least) = self.min_virtual_time(None, |_| 0) {
             self.floor = self.floor.max(least);
         }
     }
@@ -246,7 +251,7 @@
     fn sweep(&mut self) {
         let (now, waiting) = (self.now, &self.waiting);
         self.accounts
-            .retain(|key, a| waiting.contains(key) || now.since(a.touched) < IDLE);
+            .retain(|key, a| waiting.contains(key) || now.since(a.touched) < IDLE_TIMEOUT);
         let accounts = &self.accounts;
         self.changes.retain(|_, key| accounts.contains_key(key));
     }
@@ -256,9 +261,9 @@
     ///
     /// That happens where one router has forgotten it and another has not yet: what the
     /// first counts begins anew, and it would be served alone until it has caught up.
-    pub(super) fn welcome(&mut self, key: Key, debt: i64) {
-        let least = self.least(Some(key), |_| 0);
-        let behind = least.map_or(0, |l| l - debt - self.level(key));
+    pub(super) fn limit_lag(&mut self, key: Key, debt: i64) {
+        let least = self.min_virtual_time(Some(key), |_| 0);
+        let behind = least.map_or(0, |l| l - debt - self.virtual_time(key));
         if behind > 0 {
             self.shift(key, behind);
         }
@@ -269,12 +274,12 @@
     /// After a partition heals, one workspace may be far ahead of the rest. Without
     /// this it would get nothing until all had caught up, which shows as starvation.
     pub(crate) fn forgive(&mut self, debt: i64) {
-        let Some(least) = self.least(None, |_| 0) else {
+        let Some(least) = self.min_virtual_time(None, |_| 0) else {
             return;
         };
         let ahead: Vec<(Key, i64)> = self
             .backlogged()
-            .map(|(key, a)| (key, a.level(self.share(key)) - least - debt))
+            .map(|(key, a)| (key, a.virtual_time(self.share(key)) - least - debt))
             .filter(|(_, over)| *over > 0)
             .collect();
         for (key, over) in ahead {
--- a/crates/policy/src/shares/tests.rs
+++ b/crates/policy/src/shares/tests.rs
@@ -18,8 +18,8 @@
 
 fn ledgers() -> (Ledger, Ledger) {
     let (mut a, mut b) = (Ledger::new(A), Ledger::new(B));
-    a.set_friends(&BTreeMap::from([(B, true)]));
-    b.set_friends(&BTreeMap::from([(A, true)]));
+    a.set_peers(&BTreeMap::from([(B, true)]));
+    b.set_peers(&BTreeMap::from([(A, true)]));
     (a, b)
 }
 
@@ -41,7 +41,7 @@
     for n in [second.clone(), first, second] {
         b.merge(A, n, None);
     }
-    assert_eq!(b.level(Key(7)), 60);
+    assert_eq!(b.virtual_time(Key(7)), 60);
 }
 
 #[test]
@@ -49,33 +49,33 @@
     // A router comes back empty after another one has died. It needs the counts of the dead,
     // and what they lifted, or its workspaces would all look new.
     let (mut a, mut b) = ledgers();
-    a.set_waits(Key(1), true);
+    a.set_backlogged(Key(1), true);
     a.charge(Key(1), 5_000);
     a.activate(Key(2), 100, |_| 0);
     tell(&mut a, &mut b, (A, B), false);
     let c = Writer(3);
     let mut fresh = Ledger::new(c);
-    fresh.set_friends(&BTreeMap::from([(B, true)]));
-    b.set_friends(&BTreeMap::from([(c, true)]));
+    fresh.set_peers(&BTreeMap::from([(B, true)]));
+    b.set_peers(&BTreeMap::from([(c, true)]));
     tell(&mut b, &mut fresh, (B, c), true);
-    assert_eq!(fresh.level(Key(1)), 5_000);
-    assert_eq!(fresh.level(Key(2)), 4_900);
+    assert_eq!(fresh.virtual_time(Key(1)), 5_000);
+    assert_eq!(fresh.virtual_time(Key(2)), 4_900);
 }
 
 #[test]
-fn watch_forgets_idle() {
+fn tick_forgets_idle() {
     // A workspace idles for a quarter of an hour; one router has forgotten it when it comes
     // back, the owner has not. It must not be served alone until it has caught up.
     let (mut a, mut owner) = ledgers();
     let start = Time(0) + MINUTE;
-    a.watch(start);
+    a.tick(start);
     a.charge(Key(1), 50_000);
     tell(&mut a, &mut owner, (A, B), false);
-    a.watch(start + Span(15 * MINUTE.0));
-    assert_eq!(a.level(Key(1)), 0);
-    owner.set_waits(Key(2), true);
+    a.tick(start + Span(15 * MINUTE.0));
+    assert_eq!(a.virtual_time(Key(1)), 0);
+    owner.set_backlogged(Key(2), true);
     owner.charge(Key(2), 90_000);
-    a.set_waits(Key(1), true);
+    a.set_backlogged(Key(1), true);
     tell(&mut a, &mut owner, (A, B), false);
-    assert_eq!(owner.level(Key(1)), 90_000 - DEBT);
+    assert_eq!(owner.virtual_time(Key(1)), 90_000 - DEBT);
 }
--- a/crates/policy/src/shares/usage_updates.rs
+++ b/crates/policy/src/shares/usage_updates.rs
@@ -32,13 +32,15 @@
 }
 
 /// Rough bytes of a message, of each count in it, and of each that is relayed.
-const SIZES: (usize, usize, usize) = (24, 16, 20);
+const WIRE_SIZES: (usize, usize, usize) = (24, 16, 20);
 
 impl UsageUpdates {
     /// Returns roughly how many bytes it takes on the wire.
     pub(crate) fn size(&self) -> usize {
         let relays: usize = self.others.iter().map(|o| o.1.len()).sum();
-        SIZES.0 + SIZES.1 * self.updates.len() + SIZES.2 * (relays + self.shifts.len())
+        WIRE_SIZES.0
+            + WIRE_SIZES.1 * self.updates.len()
+            + WIRE_SIZES.2 * (relays + self.shifts.len())
     }
 }
 
@@ -47,7 +49,8 @@
 pub(crate) struct UsageUpdate {
     pub(crate) key: Key,
     pub(crate) charged: i64,
-    pub(crate) waits: bool,
+    #[serde(rename = "waits")]
+    pub(crate) backlogged: bool,
     /// What was lifted and forgiven, if that changed.
     pub(crate) shift: Option<(i64, i64)>,
 }
