--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -21,11 +21,11 @@
     http::{
         exchange,
         Answer,
-        Ask,
+        ClientRequest,
         ExchangeError,
         Header,
         Headers,
-        Kept, //
+        IdleConnection, //
     },
     logs::start_logs,
     model::{
--- a/crates/policy/src/pool/owner.rs
+++ b/crates/policy/src/pool/owner.rs
@@ -12,10 +12,10 @@
     },
     crate::{
         dispatch::{
-            Lend,
             Load,
             Report,
             ServiceKey,
+            SlotGrant,
             Wait, //
         },
         entry::{
@@ -27,7 +27,7 @@
             Writer,
             MILLI, //
         },
-        BorrowerDump,
+        GranteeDump,
         Incarnation,
         Peer,
         PeerState,
@@ -287,13 +287,13 @@
     }
 
     /// Returns what each router holds, as operators read it.
-    pub(crate) fn dump(&self) -> Vec<BorrowerDump> {
+    pub(crate) fn dump(&self) -> Vec<GranteeDump> {
         self.borrowers
             .iter()
-            .map(|(id, b)| BorrowerDump {
+            .map(|(id, b)| GranteeDump {
                 router: id.clone(),
                 state: b.state,
-                lent: Slots(b.total()),
+                granted: Slots(b.total()),
                 kept: Slots(b.cells.iter().map(|c| c.kept).sum()),
                 running: Slots(b.running),
                 waiting: b.waits.iter().map(|w| w.queued as usize).sum(),
@@ -307,7 +307,7 @@
         me: &RouterId,
         ledger: &Ledger,
         now: Time,
-    ) -> Vec<(RouterId, Lend)> {
+    ) -> Vec<(RouterId, SlotGrant)> {
         self.bucket.refill(TELLS, BURST, now);
         let common = Common {
             service: self.service,
@@ -329,7 +329,7 @@
                     l.limits = b.limits_due(&self.lots, now);
                 }
                 if !local {
-                    self.bucket.spend(lend.as_ref().map_or(0, Lend::size));
+                    self.bucket.spend(lend.as_ref().map_or(0, SlotGrant::size));
                 }
                 out.extend(lend.map(|l| (id.clone(), l)));
             }
--- a/src/router/passing.rs
+++ b/src/router/passing.rs
@@ -162,10 +162,10 @@
         let job = self.run.job;
         self.run.router.dispatch(|d, time| {
             if let Some(served) = served {
-                d.progress(job, served, time);
+                d.record_progress(job, served, time);
             }
             if let Some((at, had)) = last {
-                d.tokens(job, tokens - had, Span::from(now - at));
+                d.record_tokens(job, tokens - had, Span::from(now - at));
             }
         });
     }
@@ -176,7 +176,7 @@
         }
         let mut finish = finish(&self.run.work, &end, self.run.ran());
         if self.paced {
-            finish.gap = None;
+            finish.token_gap = None;
         }
         self.run.finish(finish);
         self.run.count_service(finish.units);
--- a/src/slopes/model.rs
+++ b/src/slopes/model.rs
@@ -3,8 +3,8 @@
 use {
     policy::{
         Action,
+        Completion,
         Dispatch,
-        Finish,
         Incarnation,
         Job,
         JobId,
@@ -135,10 +135,10 @@
                 zone: format!("zone-{}", r % 9).parse().expect("a valid name"),
                 leaving: false,
             });
-        d.replicas(&service(s), list.collect(), now);
+        d.set_replicas(&service(s), list.collect(), now);
     }
     let others = (0..size.routers).filter(|i| *i != me).map(router);
-    d.routers(others.collect(), now);
+    d.set_routers(others.collect(), now);
     d
 }
 
@@ -226,7 +226,7 @@
             urgency: 0,
             hint: Units(300.0),
             share: Share::ONE,
-            expect: Span::ZERO,
+            expected_run: Span::ZERO,
             prefix: None,
         };
         let begin = Instant::now();
@@ -273,10 +273,10 @@
             let Some(e) = self.ending.pop_front() else {
                 return;
             };
-            let finish = Finish {
+            let finish = Completion {
                 units: Units(300.0),
-                first: Some(Span::millis(300)),
-                gap: Some(Span::millis(25)),
+                first_byte: Some(Span::millis(300)),
+                token_gap: Some(Span::millis(25)),
                 ok: true,
                 refund: false,
             };
@@ -319,7 +319,7 @@
                     job,
                 }),
                 Action::Send { to, msg } => mail.push((i, to, msg)),
-                Action::Refuse { .. } => {}
+                Action::Reject { .. } => {}
             }
         }
         mail
