--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -52,11 +52,11 @@
         members::{
             Intro,
             Members,
-            Plan, //
+            MembershipParams, //
         },
         tickets::{
             Holder,
-            Keep,
+            RetentionLimits,
             Tickets, //
         },
         Dispatch,
@@ -218,10 +218,10 @@
             me.router.clone(),
             me.incarnation,
             intro,
-            Plan::default(),
+            MembershipParams::default(),
             seed,
         )),
-        tickets: Mutex::new(Tickets::new(me.clone(), Keep::default())),
+        tickets: Mutex::new(Tickets::new(me.clone(), RetentionLimits::default())),
         dispatch: Mutex::new(Dispatch::new(peer, seed)),
         jobs: Mutex::new(Jobs::default()),
         budgets: Mutex::default(),
