--- a/crates/gateway/src/fleet/messages.rs
+++ b/crates/gateway/src/fleet/messages.rs
@@ -2,14 +2,14 @@
 
 use {
     policy::{
-        actives::Intro,
+        actives::RouterInfo,
         placement::{
             Load,
             ReplicaKey, //
         },
-        quarantine::Notes,
+        quarantine::QuarantineUpdate,
         quota::{
-            Asked,
+            UsageCounts,
             WorkspaceKey, //
         },
         Era,
@@ -92,7 +92,7 @@
     /// Number of routers that share the retry budget.
     pub(crate) sharers: u16,
     loads: Vec<PackedLoad>,
-    pub(crate) counts: Vec<(WorkspaceKey, Asked)>,
+    pub(crate) counts: Vec<(WorkspaceKey, UsageCounts)>,
 }
 
 /// The load of a replica, packed into about 15 bytes.
@@ -112,17 +112,17 @@
     #[serde(rename = "about")]
     pub(crate) header: MessageHeader,
     pub(crate) name: RouterId,
-    pub(crate) intro: Intro,
+    pub(crate) intro: RouterInfo,
     /// Requests that the sender receives per second.
     pub(crate) rate: f32,
     /// What each workspace requested and was granted over the window; sent to active routers.
-    pub(crate) counts: Vec<(WorkspaceKey, Asked)>,
+    pub(crate) counts: Vec<(WorkspaceKey, UsageCounts)>,
     /// Replicas that departed recently.
     #[serde(rename = "left")]
     pub(crate) departed: Vec<ReplicaKey>,
     /// Quarantined requests and what is needed to detect them.
     #[serde(rename = "notes")]
-    pub(crate) quarantine: Notes,
+    pub(crate) quarantine: QuarantineUpdate,
     /// Short names of active routers that are silent.
     pub(crate) silent: Vec<u32>,
     /// The sender knows few peers and asks for addresses of more.
@@ -239,11 +239,11 @@
         header: MessageHeader,
         sharers: usize,
         mut loads: Vec<(ReplicaKey, Load)>,
-        mut counts: Vec<(WorkspaceKey, Asked)>,
+        mut counts: Vec<(WorkspaceKey, UsageCounts)>,
     ) -> SummaryMessage {
         loads.sort_by_key(|(key, load)| (Reverse(load.running), *key));
         loads.truncate(MAX_SUMMARY_REPLICAS);
-        counts.sort_by(|(_, a), (_, b)| b.asked.total_cmp(&a.asked));
+        counts.sort_by(|(_, a), (_, b)| b.requested.total_cmp(&a.requested));
         counts.truncate(MAX_SUMMARY_WORKSPACES);
         SummaryMessage {
             header,
--- a/crates/gateway/src/fleet/messages/tests.rs
+++ b/crates/gateway/src/fleet/messages/tests.rs
@@ -10,14 +10,14 @@
         SummaryMessage, //
     },
     policy::{
-        actives::Intro,
+        actives::RouterInfo,
         placement::{
             Load,
             ReplicaKey, //
         },
-        quarantine::Notes,
+        quarantine::QuarantineUpdate,
         quota::{
-            Asked,
+            UsageCounts,
             WorkspaceKey, //
         },
         Era,
@@ -82,11 +82,11 @@
     assert!(bytes.len() <= 200, "{}", bytes.len());
 }
 
-fn counts(n: u32) -> Vec<(WorkspaceKey, Asked)> {
-    let asked = Asked {
-        asked: 1e7,
-        given: 1e6,
-        lately: 2e6,
+fn counts(n: u32) -> Vec<(WorkspaceKey, UsageCounts)> {
+    let asked = UsageCounts {
+        requested: 1e7,
+        served: 1e6,
+        recent: 2e6,
     };
     (0..n)
         .map(|i| (WorkspaceKey(0xa000_0000 + i), asked))
@@ -126,7 +126,7 @@
 fn hello_message_is_small() {
     // In a fleet of 370 an active router sends 100 hello messages per second. Most of its 21 KB/s
     // must remain for load messages to the other active routers.
-    let intro = Intro {
+    let intro = RouterInfo {
         incarnation: Incarnation(u64::MAX),
         peers: "10.250.250.250:7400".parse().unwrap(),
         callers: "10.250.250.250:8783".parse().unwrap(),
@@ -141,7 +141,7 @@
         rate: 1_234.5,
         counts: Vec::new(),
         departed: Vec::new(),
-        quarantine: Notes::default(),
+        quarantine: QuarantineUpdate::default(),
         silent: Vec::new(),
         wants_peers: false,
         known_peers: Vec::new(),
--- a/crates/gateway/src/fleet/receiver.rs
+++ b/crates/gateway/src/fleet/receiver.rs
@@ -23,8 +23,8 @@
     },
     policy::{
         actives::{
-            Heard,
-            Said, //
+            HelloKind,
+            LoadFlags, //
         },
         RouterId, //
     },
@@ -96,7 +96,7 @@
         };
         match PeerMessage::decode(&buf[..n]) {
             Ok(PeerMessage::Hello(hello)) if hello.name != receiver.gw.settings.name => {
-                if receiver.apply_hello(&hello) == Heard::First && hello.wants_peers {
+                if receiver.apply_hello(&hello) == HelloKind::First && hello.wants_peers {
                     receiver.send_hello(hello.intro.peers).await;
                 }
             }
@@ -115,18 +115,18 @@
         let mut tables = self.gw.tables();
         let next = header.next();
         let loads = message.loads();
-        let said = Said {
+        let said = LoadFlags {
             busy: loads.iter().map(|(_, load)| load.running).sum::<u32>() >= BUSY_REQUESTS,
             to_active: message.to_active,
             from_active: message.from_active,
         };
         let word = tables
             .fleet
-            .word(header.from, header.number, next, said, now);
+            .receive_loads(header.from, header.number, next, said, now);
         let Some((from, at)) = word else {
             return;
         };
-        tables.board.peer(&from, &loads, now);
+        tables.board.set_peer(&from, &loads, now);
         drop(tables);
         self.apply_header(header, &from, at);
     }
@@ -135,10 +135,10 @@
         let header = &summary.header;
         let now = self.gw.now();
         let mut tables = self.gw.tables();
-        let said = Said::default();
+        let said = LoadFlags::default();
         let word = tables
             .fleet
-            .word(header.from, header.number, header.next(), said, now);
+            .receive_loads(header.from, header.number, header.next(), said, now);
         let Some((from, at)) = word else {
             return;
         };
@@ -150,27 +150,28 @@
         self.apply_header(header, &from, at);
     }
 
-    fn apply_hello(&self, hello: &HelloMessage) -> Heard {
+    fn apply_hello(&self, hello: &HelloMessage) -> HelloKind {
         let now = self.gw.now();
         let header = &hello.header;
         let mut tables = self.gw.tables();
         let rate = f64::from(hello.rate);
         let intro = hello.intro.clone();
-        let heard = tables
-            .fleet
-            .hello(&hello.name, header.number, intro, header.next(), rate, now);
-        if heard == Heard::Old {
+        let heard =
+            tables
+                .fleet
+                .receive_hello(&hello.name, header.number, intro, header.next(), rate, now);
+        if heard == HelloKind::Stale {
             return heard;
         }
         if !hello.counts.is_empty() {
-            tables.quota.peer(&hello.name, &hello.counts, now);
+            tables.quota.set_peer(&hello.name, &hello.counts, now);
         }
-        tables.fleet.told_silent(&hello.silent, now);
+        tables.fleet.receive_silent(&hello.silent, now);
         for addr in &hello.known_peers {
-            tables.fleet.list(*addr, now);
+            tables.fleet.add_address(*addr, now);
         }
-        let departed = tables.roster.told(&hello.departed, now);
-        let held = tables.quarantine.hear(&hello.quarantine, now);
+        let departed = tables.roster.apply_departures(&hello.departed, now);
+        let held = tables.quarantine.apply_update(&hello.quarantine, now);
         drop(tables);
         let at = hello.intro.peers;
         for digest in held {
@@ -186,7 +187,7 @@
             );
         }
         self.apply_header(header, &hello.name, at);
-        if heard == Heard::First {
+        if heard == HelloKind::First {
             log::info!("event=peer outcome=heard peer={} at={at}", hello.name);
         }
         heard
@@ -201,8 +202,10 @@
         let hello = {
             let tables = self.gw.tables();
             let state = tables.sender_state(&self.gw, number, config);
-            let mut hello = tables.hello(&state, tables.fleet.round(), now);
-            hello.known_peers = tables.fleet.some(MAX_KNOWN_PEERS, fastrand::usize(..));
+            let mut hello = tables.hello(&state, tables.fleet.hello_interval(), now);
+            hello.known_peers = tables
+                .fleet
+                .sample_addresses(MAX_KNOWN_PEERS, fastrand::usize(..));
             hello
         };
         send(
@@ -219,8 +222,8 @@
         let gw = &self.gw;
         let now = gw.now();
         let mut tables = gw.tables();
-        tables.watch.peer(from, header.config_age(), now);
-        tables.roster.named_era(header.era, now);
+        tables.watch.set_peer(from, header.config_age(), now);
+        tables.roster.observe_peer_era(header.era, now);
         let newer = tables
             .roster
             .peer_list(header.list_age(), header.list_digest, now);
--- a/crates/gateway/src/fleet/sender.rs
+++ b/crates/gateway/src/fleet/sender.rs
@@ -20,9 +20,9 @@
     futures_lite::future::or,
     policy::{
         actives::{
-            short,
+            router_key,
             Actives,
-            Due,
+            Recipients,
             HELLO_EVERY, //
         },
         RouterId,
@@ -137,9 +137,11 @@
     let due = tables.fleet.due(reports, urgent, now);
     state.record_active(&tables.fleet);
     let acts = tables.fleet.acts_active(now);
-    let pace = tables.fleet.pace();
-    tables.board.hear(pace);
-    tables.quota.hear(pace * f64::from(HELLO_EVERY));
+    let pace = tables.fleet.gossip_interval();
+    tables.board.set_report_interval(pace);
+    tables
+        .quota
+        .set_report_interval(pace * f64::from(HELLO_EVERY));
     tables.board.forget(now);
     tables.quota.forget(now);
     tables.quarantine.forget(now);
@@ -147,21 +149,24 @@
     let mut messages = Vec::new();
     // The quarantine can't wait for the next hello: a request that ends replicas is sent to the
     // next replica within about 100 ms.
-    let news = tables.quarantine.takes_news();
+    let news = tables.quarantine.take_unreported();
     if news || state.intervals % HELLO_EVERY == 1 {
         messages.extend(tables.hellos(&header_state, &due, now));
     }
     messages.extend(tables.summaries(&header_state, &due, now));
-    for (to, next) in [(due.far, due.far_next), (due.seldom, due.seldom_next)] {
+    for (to, next) in [
+        (due.remote, due.remote_next),
+        (due.standbys, due.standbys_next),
+    ] {
         if !to.is_empty() {
             let hello = tables.hello(&header_state, next, now);
             messages.push((PeerMessage::Hello(Box::new(hello)), to));
         }
     }
     drop(tables);
-    for (to, to_active) in [(due.near, true), (due.addressed, false)] {
+    for (to, to_active) in [(due.active_peers, true), (due.addressed, false)] {
         if !to.is_empty() {
-            let header = MessageHeader::new(&header_state, due.near_next);
+            let header = MessageHeader::new(&header_state, due.active_next);
             let mut message = LoadMessage::new(header, &loads);
             message.to_active = to_active;
             message.from_active = acts;
@@ -175,7 +180,7 @@
     pub(super) fn sender_state(&self, gw: &Shared, number: u32, config: u64) -> SenderState {
         let now = gw.now();
         SenderState {
-            from: short(&gw.settings.name, gw.incarnation),
+            from: router_key(&gw.settings.name, gw.incarnation),
             number,
             list_age: self.roster.age(now),
             list_digest: self.roster.digest(),
@@ -186,18 +191,23 @@
     }
 
     /// Returns hello messages, with counts, for the active routers and the busy standbys.
-    fn hellos(&mut self, state: &SenderState, due: &Due, now: Time) -> Vec<Addressed> {
-        let near: Vec<SocketAddr> = due.near.iter().chain(&due.addressed).copied().collect();
-        let beside = due.beside.clone();
+    fn hellos(&mut self, state: &SenderState, due: &Recipients, now: Time) -> Vec<Addressed> {
+        let near: Vec<SocketAddr> = due
+            .active_peers
+            .iter()
+            .chain(&due.addressed)
+            .copied()
+            .collect();
+        let beside = due.busy_standbys.clone();
         let mut all = Vec::new();
         if near.is_empty() && beside.is_empty() {
             return all;
         }
         let counts = self.quota.report(now);
-        for (to, next) in [(near, due.near_next), (beside, due.beside_next)] {
+        for (to, next) in [(near, due.active_next), (beside, due.busy_next)] {
             if !to.is_empty() {
                 let mut hello = self.hello(state, next, now);
-                hello.quarantine = self.quarantine.notes(now);
+                hello.quarantine = self.quarantine.full_update(now);
                 hello.counts = counts.clone();
                 all.push((PeerMessage::Hello(Box::new(hello)), to));
             }
@@ -206,12 +216,12 @@
     }
 
     /// Returns the summaries for the busy standbys that get them from this router.
-    fn summaries(&self, state: &SenderState, due: &Due, now: Time) -> Vec<Addressed> {
+    fn summaries(&self, state: &SenderState, due: &Recipients, now: Time) -> Vec<Addressed> {
         let sharers = self.fleet.sharers(now);
         let summary = |(name, addr): &(RouterId, SocketAddr)| {
-            let header = MessageHeader::new(state, due.near_next);
-            let loads = self.board.all_but(name, now);
-            let counts = self.quota.all_but(name, now);
+            let header = MessageHeader::new(state, due.active_next);
+            let loads = self.board.loads_except(name, now);
+            let counts = self.quota.counts_except(name, now);
             (
                 PeerMessage::Summary(SummaryMessage::new(header, sharers, loads, counts)),
                 vec![*addr],
@@ -225,13 +235,13 @@
         HelloMessage {
             header: MessageHeader::new(state, next),
             name: self.fleet.name().clone(),
-            intro: self.fleet.own().clone(),
+            intro: self.fleet.local().clone(),
             rate: self.fleet.rate() as f32,
             counts: Vec::new(),
-            departed: self.roster.left(now),
-            quarantine: self.quarantine.holds(now),
+            departed: self.roster.departures(now),
+            quarantine: self.quarantine.held_update(now),
             silent: self.fleet.silent(),
-            wants_peers: self.fleet.knows_few(),
+            wants_peers: self.fleet.needs_addresses(),
             known_peers: Vec::new(),
         }
     }
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -23,7 +23,7 @@
     }
     loop {
         if !is_watch_due(&gw) {
-            task::sleep(Watch::LOOK.into()).await;
+            task::sleep(Watch::POLL_INTERVAL.into()).await;
             continue;
         }
         match read(&gw).await {
@@ -37,9 +37,9 @@
 fn is_watch_due(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
-    let routers = tables.fleet.takers();
-    let patience = tables.fleet.patience();
-    if tables.watch.told_within(patience, now) {
+    let routers = tables.fleet.eligible_count();
+    let patience = tables.fleet.standby_delay();
+    if tables.watch.confirmed_within(patience, now) {
         return false;
     }
     !gw.is_leaving() && tables.watch.is_due(fastrand::f64(), routers, now)
@@ -50,7 +50,9 @@
     let now = gw.now();
     let tables = gw.tables();
     // A standby learns only every few seconds which other routers watch.
-    let others = tables.watch.others_within(tables.fleet.patience(), now);
+    let others = tables
+        .watch
+        .peer_confirmed_within(tables.fleet.standby_delay(), now);
     others || tables.watch.yields(&gw.settings.name, now)
 }
 
@@ -93,7 +95,7 @@
 async fn watch(gw: &Shared, mut revision: Revision) {
     log::info!("event=watch outcome=begun revision={revision}");
     let cause = loop {
-        let watched = (gw.store.watch_config)(revision, Watch::WAIT.into()).await;
+        let watched = (gw.store.watch_config)(revision, Watch::LONG_POLL_TIMEOUT.into()).await;
         gw.note_store("watch", watched.as_ref().err());
         match watched {
             Ok(watched) => {
--- a/crates/gateway/src/follow/registration.rs
+++ b/crates/gateway/src/follow/registration.rs
@@ -13,7 +13,7 @@
         entry_state,
         quarantine::{
             Held,
-            Notes,
+            QuarantineUpdate,
             RequestDigest, //
         },
         EntrySeen,
@@ -192,7 +192,7 @@
             Some(entry) if entry.renewed_at.elapsed() >= LEASE_DURATION => self.entry = None,
             _ => {}
         }
-        self.outdated |= gw.tables().quarantine.takes_begun();
+        self.outdated |= gw.tables().quarantine.take_new_holds();
         if let Some(entry) = self.entry.as_mut().filter(|_| self.outdated) {
             if let Some(revision) = write_entry(gw, entry.lease).await {
                 entry.revision = revision;
@@ -204,7 +204,7 @@
 
     /// Drops a lease of an older era: the store was since restored from a backup.
     fn drop_older_lease(&mut self, eras: Eras) {
-        let mut era = eras.told();
+        let mut era = eras.confirmed();
         if eras.newest() > self.era {
             self.era = eras.newest();
             era = self.era;
@@ -295,7 +295,7 @@
 
 /// Writes this router's entry. Returns its revision if that succeeded.
 async fn write_entry(gw: &Shared, lease: Lease) -> Option<Revision> {
-    let held = gw.tables().quarantine.holds(gw.now()).held;
+    let held = gw.tables().quarantine.held_update(gw.now()).held;
     let settings = &gw.settings;
     let entry = RouterEntry::new(
         settings.name.clone(),
@@ -331,13 +331,13 @@
 /// Takes over the address and the quarantined requests of another router's entry.
 fn apply_entry(gw: &Shared, entry: &RouterEntry) {
     let now = gw.now();
-    let notes = Notes {
+    let notes = QuarantineUpdate {
         held: entry.quarantined_at(unix_ms()),
-        ..Notes::default()
+        ..QuarantineUpdate::default()
     };
     let mut tables = gw.tables();
-    tables.fleet.list(entry.peers, now);
-    let begun = tables.quarantine.hear(&notes, now);
+    tables.fleet.add_address(entry.peers, now);
+    let begun = tables.quarantine.apply_update(&notes, now);
     drop(tables);
     for digest in begun {
         log::warn!("event=quarantine outcome=begun digest={digest} from=store");
--- a/crates/gateway/src/follow/registration/tests.rs
+++ b/crates/gateway/src/follow/registration/tests.rs
@@ -8,8 +8,8 @@
     policy::{
         quarantine::{
             Held,
-            Notes,
             Quarantine,
+            QuarantineUpdate,
             RequestDigest, //
         },
         Span,
@@ -37,13 +37,13 @@
     // again as soon as they are back, and only their entries still tell that it is quarantined.
     let bytes = rmp_serde::to_vec_named(&entry(Span::secs(500))).unwrap();
     let read: RouterEntry = rmp_serde::from_slice(&bytes).unwrap();
-    let notes = Notes {
+    let notes = QuarantineUpdate {
         held: read.quarantined_at(WRITTEN_UNIX_MS + 12_000),
-        ..Notes::default()
+        ..QuarantineUpdate::default()
     };
     let mut started = Quarantine::default();
-    assert_eq!(started.hear(&notes, Time(0)), [DIGEST]);
-    assert_eq!(started.left(DIGEST, Time(0)), Some(Span::secs(488)));
+    assert_eq!(started.apply_update(&notes, Time(0)), [DIGEST]);
+    assert_eq!(started.remaining(DIGEST, Time(0)), Some(Span::secs(488)));
 }
 
 #[test]
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -38,7 +38,7 @@
 pub(crate) async fn follow_replicas(gw: Arc<Shared>) {
     loop {
         if !is_read_due(&gw) {
-            task::sleep(Roster::<()>::LOOK.into()).await;
+            task::sleep(Roster::<()>::POLL_INTERVAL.into()).await;
             continue;
         }
         let read = (gw.store.list_replicas)().await;
@@ -46,7 +46,7 @@
         match read {
             Ok(list) => apply_store_list(&gw, list),
             Err(_) => {
-                gw.tables().roster.failed();
+                gw.tables().roster.read_failed();
                 task::sleep(READ_RETRY_DELAY).await;
             }
         }
@@ -57,8 +57,8 @@
 fn is_read_due(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
-    let routers = tables.fleet.takers();
-    let since = now - tables.fleet.patience();
+    let routers = tables.fleet.eligible_count();
+    let since = now - tables.fleet.standby_delay();
     tables.roster.is_due(fastrand::f64(), routers, since)
 }
 
@@ -67,8 +67,8 @@
     let now = gw.now();
     let departed = {
         let roster = &mut gw.tables().roster;
-        roster.read_at(list.revision, now);
-        roster.listed(listed_replicas(list.replicas), now)
+        roster.set_revision(list.revision, now);
+        roster.apply_list(listed_replicas(list.replicas), now)
     };
     finish_update(gw, &departed, "store");
     // Announce it at once. Until the peers know of this read, each may decide to read too: 85
@@ -87,10 +87,10 @@
     let now = gw.now();
     let departed = {
         let roster = &mut gw.tables().roster;
-        if !roster.takes_list_of(era, now) {
+        if !roster.accepts_list_of(era, now) {
             return;
         }
-        roster.listed_by_peer(listed_replicas(list), age, now)
+        roster.apply_peer_list(listed_replicas(list), age, now)
     };
     finish_update(gw, &departed, &from.to_string());
 }
@@ -110,8 +110,8 @@
     let now = gw.now();
     let mut tables = gw.tables();
     let known: HashSet<ReplicaKey> = tables.roster.known().map(|(_, r)| r.key()).collect();
-    tables.speeds.keep(|key| known.contains(&key));
-    tables.latencies.keep(|key| known.contains(&key));
+    tables.speeds.retain(|key| known.contains(&key));
+    tables.latencies.retain(|key| known.contains(&key));
     tables.health.retain(|key, _| known.contains(key));
     tables.last_received.retain(|key, _| known.contains(key));
     tables
--- a/crates/gateway/src/model/replica.rs
+++ b/crates/gateway/src/model/replica.rs
@@ -3,9 +3,9 @@
 use {
     policy::{
         placement::ReplicaKey,
-        Born,
         ReplicaId,
         ServiceId,
+        StartedAt,
         Zone, //
     },
     serde::{
@@ -22,7 +22,7 @@
     pub id: ReplicaId,
     /// When it started, if it tells; with the id it names this start alone.
     #[serde(rename = "born")]
-    pub started_at: Option<Born>,
+    pub started_at: Option<StartedAt>,
     /// What it offers.
     pub service: ServiceId,
     /// Where it listens. Another replica may get the address once this one is gone.
@@ -45,7 +45,7 @@
     ///     "slots":4,"state":"Ready"}"#;
     /// let first: gateway::Replica = serde_json::from_str(text)?;
     /// let mut again = first.clone();
-    /// again.started_at = Some(policy::Born(1_700_000_000_000));
+    /// again.started_at = Some(policy::StartedAt(1_700_000_000_000));
     /// assert_ne!(first.key(), again.key());
     /// # Ok::<(), serde_json::Error>(())
     /// ```
--- a/crates/policy/src/actives/mod.rs
+++ b/crates/policy/src/actives/mod.rs
@@ -23,17 +23,17 @@
         Member, //
     },
     due::{
-        Due,
+        Recipients,
         HELLO_EVERY, //
     },
     peer::{
-        short,
-        Heard,
-        Intro,
+        router_key,
+        HelloKind,
         Peer, //
+        RouterInfo,
     },
     table::{
         Actives,
-        Said, //
+        LoadFlags, //
     },
 };
--- a/crates/policy/src/actives/set.rs
+++ b/crates/policy/src/actives/set.rs
@@ -8,9 +8,9 @@
         },
         due::is_recent,
         peer::{
-            short,
-            Intro,
+            router_key,
             Peer,
+            RouterInfo,
             Silence,
             SILENT, //
         },
@@ -85,7 +85,7 @@
         self.peers.retain(|name, p| {
             let keep = now.since(p.heard) < FORGET.max(p.next * 4.0);
             if !keep {
-                shorts.remove(&short(name, p.intro.incarnation));
+                shorts.remove(&router_key(name, p.intro.incarnation));
             }
             keep
         });
@@ -94,7 +94,7 @@
 
     /// Returns those that can be active.
     fn members(&self, now: Time) -> Vec<Member> {
-        let member = |name: &RouterId, intro: &Intro| Member {
+        let member = |name: &RouterId, intro: &RouterInfo| Member {
             name: name.clone(),
             zone: intro.zone.clone(),
             processor: f64::from(intro.processor),
@@ -162,7 +162,7 @@
     /// all routers where it has none.
     pub fn sharers(&self, now: Time) -> usize {
         if self.is_active() {
-            return self.active_count() + self.beside(now).count();
+            return self.active_count() + self.busy_standbys(now).count();
         }
         let told = self
             .known_sharers
@@ -176,7 +176,7 @@
     }
 
     /// Returns among how many routers one is drawn where one of them is to do something.
-    pub fn takers(&self) -> usize {
+    pub fn eligible_count(&self) -> usize {
         match self.is_active() {
             true => self.active_count(),
             false => self.contacts.len() + 1,
@@ -189,7 +189,7 @@
     /// One that stands by hears each active one every three seconds, and so is late to hear that one
     /// did it. Where such routers waited no longer, 280 of them began one watch after the other
     /// and ended none: 7,018 calls to the store on a quiet day of 48 s.
-    pub fn patience(&self) -> Span {
+    pub fn standby_delay(&self) -> Span {
         match self.is_active() {
             true => Span::ZERO,
             false => PATIENCE,
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -6,14 +6,14 @@
         peer::Peer,
         ring::Ring,
         Event,
+        GossipUpdate,
         Heartbeat,
         Intro,
         Listed,
         Member,
-        Plan,
-        Rumour,
-        State,
-        Word, //
+        MembershipParams,
+        ReportedState,
+        State, //
     },
     crate::{
         Incarnation,
@@ -35,7 +35,7 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{members::{Event, Intro, Members, Plan}, Incarnation, Time};
+/// use policy::{members::{Event, Intro, Members, MembershipParams}, Incarnation, Time};
 ///
 /// let intro = |port| Intro {
 ///     addr: ([127, 0, 0, 1], port).into(),
@@ -44,13 +44,13 @@
 ///     zone: "hall-a".parse().unwrap(),
 /// };
 /// let id = |s: &str| s.parse().unwrap();
-/// let mut a = Members::new(id("a"), Incarnation(1), intro(7000), Plan::default(), 1);
-/// let mut b = Members::new(id("b"), Incarnation(1), intro(7100), Plan::default(), 2);
+/// let mut a = Members::new(id("a"), Incarnation(1), intro(7000), MembershipParams::default(), 1);
+/// let mut b = Members::new(id("b"), Incarnation(1), intro(7100), MembershipParams::default(), 2);
 /// a.seed(id("b"), intro(7100), Time(0));
 /// a.tick(Time(0));
 /// for e in a.take_events() {
-///     if let Event::Beat { beat, .. } = e {
-///         b.heard(*beat, Time(0));
+///     if let Event::SendHeartbeat { heartbeat, .. } = e {
+///         b.receive_heartbeat(*heartbeat, Time(0));
 ///     }
 /// }
 /// assert_eq!(b.view().len(), 2);
@@ -60,14 +60,14 @@
     pub(super) me: RouterId,
     pub(super) incarnation: Incarnation,
     pub(super) intro: Intro,
-    pub(super) own: Own,
-    pub(super) plan: Plan,
+    pub(super) local: LocalStatus,
+    pub(super) params: MembershipParams,
     pub(super) rng: Rng,
     pub(super) seq: u64,
     pub(super) peers: BTreeMap<RouterId, Peer>,
     pub(super) gossip: Gossip,
     /// Rumours owed to one router, in the next heartbeat to it.
-    pub(super) owed: BTreeMap<RouterId, Vec<Rumour>>,
+    pub(super) owed: BTreeMap<RouterId, Vec<GossipUpdate>>,
     pub(super) events: Vec<Event>,
     pub(super) ticked: Option<Time>,
     pub(super) round: Option<Time>,
@@ -75,7 +75,7 @@
 
 /// What a router says of itself in its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Own {
+pub struct LocalStatus {
     /// It shuts down.
     pub leaving: bool,
     /// The platform does not answer it.
@@ -95,15 +95,15 @@
         me: RouterId,
         incarnation: Incarnation,
         intro: Intro,
-        plan: Plan,
+        params: MembershipParams,
         seed: u64,
     ) -> Members {
         Members {
             me,
             incarnation,
             intro,
-            own: Own::default(),
-            plan,
+            local: LocalStatus::default(),
+            params,
             rng: Rng::with_seed(seed),
             seq: 0,
             peers: BTreeMap::new(),
@@ -116,11 +116,11 @@
     }
 
     /// Sets what the next heartbeats say of this router.
-    pub fn set(&mut self, own: Own) {
-        if self.own.leaving != own.leaving {
+    pub fn set_local_status(&mut self, local: LocalStatus) {
+        if self.local.leaving != local.leaving {
             self.events.push(Event::Changed);
         }
-        self.own = own;
+        self.local = local;
     }
 
     /// Adds a router that the settings name, where no list is at hand.
@@ -128,14 +128,14 @@
         if id == self.me || self.peers.contains_key(&id) {
             return;
         }
-        let peer = Peer::new(id.clone(), &intro, &self.plan, now);
+        let peer = Peer::new(id.clone(), &intro, &self.params, now);
         self.peers.insert(id, peer);
         self.events.push(Event::Changed);
     }
 
     /// Takes the platform's list. It lags, so it adds routers but never takes away one
     /// that still beats.
-    pub fn listed(&mut self, list: Vec<Listed>, now: Time) {
+    pub fn update_list(&mut self, list: Vec<Listed>, now: Time) {
         for p in self.peers.values_mut() {
             p.listed = false;
         }
@@ -161,23 +161,23 @@
     }
 
     /// Notes that a router said goodbye on its connection.
-    pub fn left(&mut self, id: &RouterId, now: Time) {
+    pub fn mark_left(&mut self, id: &RouterId, now: Time) {
         self.turn(id, State::Left, now);
     }
 
     /// Says goodbye to everyone: this router's process ends now.
     pub fn goodbye(&mut self) {
         self.seq += 1;
-        let left = Rumour {
+        let left = GossipUpdate {
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
-            word: Word::Left,
+            state: ReportedState::Left,
         };
         let ring = Ring::new(self.ring_ids());
         for id in self.targets(&ring) {
             self.owed.entry(id.clone()).or_default().push(left.clone());
-            self.beat(&id, false);
+            self.send_heartbeat(&id, false);
         }
     }
 
@@ -220,13 +220,13 @@
             operators: self.intro.operators,
             zone: self.intro.zone.clone(),
             state: State::Live,
-            leaving: self.own.leaving,
-            no_platform: self.own.no_platform,
-            heard: true,
-            hears: true,
-            config: self.own.config,
-            list: self.own.list,
-            load: self.own.load,
+            leaving: self.local.leaving,
+            no_platform: self.local.no_platform,
+            inbound_ok: true,
+            outbound_ok: true,
+            config: self.local.config,
+            list: self.local.list,
+            load: self.local.load,
         }
     }
 
@@ -243,45 +243,45 @@
         self.events.push(Event::Changed);
         // A listed router that is first heard is what everyone expects.
         if (before, state) != (State::Listed, State::Live) {
-            self.gossip.push(p.rumour(), n);
+            self.gossip.push(p.gossip_update(), n);
         }
     }
 
     /// Queues a heartbeat to one router.
-    pub(super) fn beat(&mut self, to: &RouterId, ask: bool) {
-        let deaf = self.deaf();
+    pub(super) fn send_heartbeat(&mut self, to: &RouterId, reply_requested: bool) {
+        let missing = self.missing();
         let Some(p) = self.peers.get(to) else {
             return;
         };
-        let mut rumours = self.owed.remove(to).unwrap_or_default();
-        rumours.extend(self.gossip.take());
-        let known = p.member.heard && !ask && self.seq % INTRO_EVERY != 0;
-        let beat = Heartbeat {
+        let mut updates = self.owed.remove(to).unwrap_or_default();
+        updates.extend(self.gossip.take());
+        let known = p.member.inbound_ok && !reply_requested && self.seq % INTRO_EVERY != 0;
+        let heartbeat = Heartbeat {
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
             intro: (!known).then(|| self.intro.clone()),
-            leaving: self.own.leaving,
-            no_platform: self.own.no_platform,
-            config: self.own.config,
-            list: self.own.list,
-            load: self.own.load,
-            ask,
-            deaf,
-            rumours,
+            leaving: self.local.leaving,
+            no_platform: self.local.no_platform,
+            config: self.local.config,
+            list: self.local.list,
+            load: self.local.load,
+            reply_requested,
+            missing,
+            updates,
         };
-        self.events.push(Event::Beat {
+        self.events.push(Event::SendHeartbeat {
             to: to.clone(),
             addr: p.member.addr,
-            beat: Box::new(beat),
+            heartbeat: Box::new(heartbeat),
         });
     }
 
-    fn deaf(&self) -> Vec<RouterId> {
-        let deaf = self
+    fn missing(&self) -> Vec<RouterId> {
+        let missing = self
             .peers
             .values()
-            .filter(|p| p.due && !p.member.heard && p.member.up());
-        deaf.map(|p| p.member.id.clone()).collect()
+            .filter(|p| p.due && !p.member.inbound_ok && p.member.up());
+        missing.map(|p| p.member.id.clone()).collect()
     }
 }
--- a/crates/policy/tests/members/fleet.rs
+++ b/crates/policy/tests/members/fleet.rs
@@ -7,9 +7,9 @@
             Event,
             Heartbeat,
             Intro,
+            LocalStatus,
             Members,
-            Own,
-            Plan,
+            MembershipParams,
             State, //
         },
         Incarnation,
@@ -83,10 +83,10 @@
 impl Node {
     pub fn take(&mut self, config: u64) {
         self.config = self.config.max(config);
-        self.table.set(Own {
+        self.table.set_local_status(LocalStatus {
             config: self.config,
             leaving: self.leaving,
-            ..Own::default()
+            ..LocalStatus::default()
         });
     }
 }
@@ -118,7 +118,7 @@
     fn start(&self, i: usize, n: usize, incarnation: u64) -> Node {
         let seed = i as u64 + incarnation * 1000;
         let start = Incarnation(incarnation);
-        let mut table = Members::new(id(i), start, intro(i), Plan::default(), seed);
+        let mut table = Members::new(id(i), start, intro(i), MembershipParams::default(), seed);
         for j in 0..n {
             table.seed(id(j), intro(j), self.now);
         }
@@ -243,7 +243,7 @@
                 Some(t) => held.push(((t + AWAKE, n), (to, incarnation, beat))),
                 None => {
                     node.take(beat.config);
-                    node.table.heard(beat, self.now);
+                    node.table.receive_heartbeat(beat, self.now);
                 }
             }
         }
@@ -258,7 +258,7 @@
         let mut changed = false;
         for e in events {
             match e {
-                Event::Beat { to, beat, .. } => self.post(i, index(&to), *beat),
+                Event::SendHeartbeat { to, heartbeat, .. } => self.post(i, index(&to), *heartbeat),
                 Event::Changed => changed = true,
                 Event::Replaced(_) => self.nodes[i].replaced = true,
             }
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -13,16 +13,16 @@
             Load,
             Part,
             Pick,
+            PlacementRequest, //
             Prompt,
             ReplicaKey,
             Tuning,
-            Wish, //
         },
         quota::{
             Quota,
             WorkspaceKey, //
         },
-        Claim,
+        AnswerState,
         ReplicaId,
         RouterId,
         Span,
@@ -145,19 +145,19 @@
             let counts = due(self.fleet.counts).then(|| self.quotas[i].report(self.now));
             for peer in (0..active).filter(|peer| *peer != i) {
                 if let Some(loads) = &loads {
-                    self.boards[peer].peer(name, loads, self.now);
+                    self.boards[peer].set_peer(name, loads, self.now);
                 }
                 if let Some(counts) = &counts {
-                    self.quotas[peer].peer(name, counts, self.now);
+                    self.quotas[peer].set_peer(name, counts, self.now);
                 }
             }
         }
         for (i, name) in names.iter().enumerate().skip(active) {
             if due(self.fleet.loads) {
                 let relay = i % active;
-                let loads = self.boards[relay].all_but(name, self.now);
+                let loads = self.boards[relay].loads_except(name, self.now);
                 self.boards[i].set_summary(&loads, self.now);
-                let counts = self.quotas[relay].all_but(name, self.now);
+                let counts = self.quotas[relay].counts_except(name, self.now);
                 self.quotas[i].set_summary(&counts, self.now);
             }
         }
@@ -166,7 +166,7 @@
     /// Asks at a router; tells how long the first event takes, or none where it is refused.
     fn ask(&mut self, router: usize, workspace: WorkspaceKey, prompt: &Prompt) -> Option<Span> {
         let now = self.now;
-        self.quotas[router].asked(workspace, prompt.cost(), now);
+        self.quotas[router].record_requested(workspace, prompt.cost(), now);
         self.turn += 1;
         let roll = xxh3_64(&self.turn.to_le_bytes()) as f64 / u64::MAX as f64;
         let standing = self.quotas[router].standing(workspace, roll, now);
@@ -182,17 +182,17 @@
                 speed: SPEED,
                 load: board.load(ReplicaKey::of(id), now),
                 penalty: 0.0,
-                copies: true,
-                cached: None,
+                can_copy: true,
+                cached_age_s: None,
             })
             .collect();
-        let wish = Wish {
-            claim: Claim::New,
+        let wish = PlacementRequest {
+            answer: AnswerState::NotStarted,
             prompt,
             target: Span::millis(400),
-            shortest: Span::millis(250),
-            standing,
-            words: self.fleet.loads,
+            shortest_target: Span::millis(250),
+            usage: standing,
+            load_interval: self.fleet.loads,
             tuning: &Tuning::default(),
         };
         let Pick::Run(choice) = pick(&candidates, &wish) else {
@@ -208,7 +208,7 @@
             unread: u64::from(choice.uncached),
             memory: u64::from(prompt.total + prompt.output),
         };
-        self.quotas[router].given(workspace, prompt.cost(), now);
+        self.quotas[router].record_served(workspace, prompt.cost(), now);
         self.boards[router].start(choice.key, load);
         let reading = Span((f64::from(choice.uncached) / SPEED * 1e3) as u64);
         let first = self.read[engine].max(now) + reading;
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -9,13 +9,13 @@
         Load,
         Part,
         Pick,
+        PlacementRequest, //
         Prompt,
         ReplicaKey,
         Tuning,
-        Wish, //
     },
-    quota::Standing,
-    Claim,
+    quota::UsageStanding,
+    AnswerState,
     ReplicaId,
     Span, //
 };
@@ -30,8 +30,8 @@
         speed: 100.0,
         load: Load::default(),
         penalty: 0.0,
-        copies: true,
-        cached: None,
+        can_copy: true,
+        cached_age_s: None,
     }
 }
 
@@ -49,20 +49,20 @@
 }
 
 fn choose(engines: &[Candidate], standing: f64) -> Pick {
-    choose_for(engines, standing, Claim::New)
+    choose_for(engines, standing, AnswerState::NotStarted)
 }
 
-fn choose_for(engines: &[Candidate], standing: f64, claim: Claim) -> Pick {
-    let wish = Wish {
+fn choose_for(engines: &[Candidate], standing: f64, claim: AnswerState) -> Pick {
+    let wish = PlacementRequest {
         prompt: &prompt(),
-        claim,
+        answer: claim,
         target: Span::millis(400),
-        shortest: Span::millis(250),
-        standing: Standing {
+        shortest_target: Span::millis(250),
+        usage: UsageStanding {
             share: standing,
-            ..Standing::default()
+            ..UsageStanding::default()
         },
-        words: Span::millis(100),
+        load_interval: Span::millis(100),
         tuning: &Tuning::default(),
     };
     pick(engines, &wish)
@@ -93,7 +93,7 @@
 fn pick_home_that_was_used_copies_nothing() {
     let mut all = engines(12);
     let home = run(&all, 0.0).replica;
-    all.iter_mut().find(|e| e.id == home).unwrap().cached = Some(1.0);
+    all.iter_mut().find(|e| e.id == home).unwrap().cached_age_s = Some(1.0);
     assert_eq!(run(&all, 0.0).source, None);
 }
 
@@ -130,7 +130,7 @@
     let mut all = engines(12);
     let home = run(&all, 0.0).replica;
     fill(&mut all, &home, 58);
-    all.iter_mut().for_each(|e| e.copies = false);
+    all.iter_mut().for_each(|e| e.can_copy = false);
     let second = run(&all, 0.0);
     assert_eq!(second.uncached, 12_000);
     assert_eq!(second.source, None);
@@ -153,7 +153,12 @@
     for engine in &mut all {
         engine.load.running = 58;
     }
-    let Pick::Refuse { after, full, bound } = choose(&all, 0.0) else {
+    let Pick::Refuse {
+        retry_after: after,
+        fullness: full,
+        bound,
+    } = choose(&all, 0.0)
+    else {
         panic!("nothing has room");
     };
     assert!(after > Span::ZERO && after <= Span::secs(2));
@@ -242,13 +247,13 @@
         for id in 0..300 {
             let mut prompt = prompt();
             prompt.parts[1].id = id;
-            let wish = Wish {
-                claim: Claim::New,
+            let wish = PlacementRequest {
+                answer: AnswerState::NotStarted,
                 prompt: &prompt,
                 target: Span::millis(400),
-                shortest: Span::millis(250),
-                standing: Standing::default(),
-                words: Span::millis(100),
+                shortest_target: Span::millis(250),
+                usage: UsageStanding::default(),
+                load_interval: Span::millis(100),
                 tuning: &Tuning::default(),
             };
             match pick(all, &wish) {
@@ -278,17 +283,17 @@
         total: 300,
         output: 100,
     };
-    let wish = Wish {
-        claim: Claim::New,
+    let wish = PlacementRequest {
+        answer: AnswerState::NotStarted,
         prompt: &short,
         target: Span::millis(400),
-        shortest: Span::millis(250),
-        standing: Standing {
+        shortest_target: Span::millis(250),
+        usage: UsageStanding {
             share: 3.0,
-            even: 0.5,
-            ..Standing::default()
+            max_min_ratio: 0.5,
+            ..UsageStanding::default()
         },
-        words: Span::millis(100),
+        load_interval: Span::millis(100),
         tuning: &Tuning::default(),
     };
     let picked = pick(&all, &wish);
@@ -305,7 +310,10 @@
         engine.load.unread = 200_000;
     }
     assert!(matches!(choose(&all, 5.0), Pick::Refuse { .. }));
-    assert!(matches!(choose_for(&all, 5.0, Claim::Begun), Pick::Run(_)));
+    assert!(matches!(
+        choose_for(&all, 5.0, AnswerState::Started),
+        Pick::Run(_)
+    ));
 }
 
 /// Guards against a stream that waits at the home of its prompt while another engine has a place.
@@ -318,7 +326,7 @@
     }
     let free = all.iter().find(|e| e.id != home).unwrap().id.clone();
     fill(&mut all, &free, 40);
-    let Pick::Run(choice) = choose_for(&all, 5.0, Claim::Begun) else {
+    let Pick::Run(choice) = choose_for(&all, 5.0, AnswerState::Started) else {
         panic!("refused");
     };
     assert_eq!(choice.replica, free);
--- a/src/slopes/members.rs
+++ b/src/slopes/members.rs
@@ -14,9 +14,9 @@
             Heartbeat,
             Intro,
             Listed,
+            LocalStatus,
             Members,
-            Own,
-            Plan, //
+            MembershipParams, //
         },
         Incarnation,
         RouterId,
@@ -102,7 +102,7 @@
     let mut mail: Vec<(usize, Heartbeat)> = Vec::new();
     let begin = Instant::now();
     for m in all.iter_mut() {
-        m.set(Own::default());
+        m.set_local_status(LocalStatus::default());
         m.tick(*now);
         mail.extend(
             m.take_events()
@@ -113,20 +113,20 @@
     let mut replies = Vec::new();
     for (to, beat) in mail.drain(..) {
         spent.bytes += size(&beat);
-        all[to].heard(beat, *now);
+        all[to].receive_heartbeat(beat, *now);
         let events = all[to].take_events().into_iter();
         replies.extend(events.filter_map(|e| beat_of(e, index)));
     }
     for (to, beat) in replies {
         spent.bytes += size(&beat);
-        all[to].heard(beat, *now);
+        all[to].receive_heartbeat(beat, *now);
     }
     spent.seconds += begin.elapsed().as_secs_f64();
 }
 
 fn beat_of(e: Event, index: &HashMap<RouterId, usize>) -> Option<(usize, Heartbeat)> {
     match e {
-        Event::Beat { to, beat, .. } => Some((*index.get(&to)?, *beat)),
+        Event::SendHeartbeat { to, heartbeat, .. } => Some((*index.get(&to)?, *heartbeat)),
         Event::Changed | Event::Replaced(_) => None,
     }
 }
@@ -152,7 +152,13 @@
         zone: zone(me),
     };
     let seed = me as u64;
-    let mut members = Members::new(id(me), Incarnation(1), intro, Plan::default(), seed);
+    let mut members = Members::new(
+        id(me),
+        Incarnation(1),
+        intro,
+        MembershipParams::default(),
+        seed,
+    );
     let list = (0..n).map(|i| Listed {
         id: id(i),
         addr: addr(i),
@@ -160,6 +166,6 @@
         zone: zone(i),
         leaving: false,
     });
-    members.listed(list.collect(), Time(0));
+    members.update_list(list.collect(), Time(0));
     members
 }
