--- a/crates/gateway/src/fleet/messages/tests.rs
+++ b/crates/gateway/src/fleet/messages/tests.rs
@@ -83,13 +83,13 @@
 }
 
 fn counts(n: u32) -> Vec<(WorkspaceKey, UsageCounts)> {
-    let asked = UsageCounts {
+    let usage = UsageCounts {
         requested: 1e7,
         served: 1e6,
         recent: 2e6,
     };
     (0..n)
-        .map(|i| (WorkspaceKey(0xa000_0000 + i), asked))
+        .map(|i| (WorkspaceKey(0xa000_0000 + i), usage))
         .collect()
 }
 
--- a/crates/gateway/src/fleet/receiver.rs
+++ b/crates/gateway/src/fleet/receiver.rs
@@ -115,15 +115,15 @@
         let mut tables = self.gw.tables();
         let next = header.next();
         let loads = message.loads();
-        let said = LoadFlags {
+        let flags = LoadFlags {
             busy: loads.iter().map(|(_, load)| load.running).sum::<u32>() >= BUSY_REQUESTS,
             to_active: message.to_active,
             from_active: message.from_active,
         };
-        let word = tables
+        let sender = tables
             .fleet
-            .receive_loads(header.from, header.number, next, said, now);
-        let Some((from, at)) = word else {
+            .receive_loads(header.from, header.number, next, flags, now);
+        let Some((from, at)) = sender else {
             return;
         };
         tables.board.set_peer(&from, &loads, now);
@@ -135,11 +135,12 @@
         let header = &summary.header;
         let now = self.gw.now();
         let mut tables = self.gw.tables();
-        let said = LoadFlags::default();
-        let word = tables
-            .fleet
-            .receive_loads(header.from, header.number, header.next(), said, now);
-        let Some((from, at)) = word else {
+        let flags = LoadFlags::default();
+        let sender =
+            tables
+                .fleet
+                .receive_loads(header.from, header.number, header.next(), flags, now);
+        let Some((from, at)) = sender else {
             return;
         };
         let sharers = usize::from(summary.sharers);
@@ -156,12 +157,12 @@
         let mut tables = self.gw.tables();
         let rate = f64::from(hello.rate);
         let intro = hello.intro.clone();
-        let heard =
+        let kind =
             tables
                 .fleet
                 .receive_hello(&hello.name, header.number, intro, header.next(), rate, now);
-        if heard == HelloKind::Stale {
-            return heard;
+        if kind == HelloKind::Stale {
+            return kind;
         }
         if !hello.counts.is_empty() {
             tables.quota.set_peer(&hello.name, &hello.counts, now);
@@ -187,10 +188,10 @@
             );
         }
         self.apply_header(header, &hello.name, at);
-        if heard == HelloKind::First {
+        if kind == HelloKind::First {
             log::info!("event=peer outcome=heard peer={} at={at}", hello.name);
         }
-        heard
+        kind
     }
 
     /// Introduces this router and some of its peers to a router that has just started: that one may
--- a/crates/gateway/src/fleet/sender.rs
+++ b/crates/gateway/src/fleet/sender.rs
@@ -136,12 +136,12 @@
     state.was_busy = busy;
     let due = tables.fleet.due(reports, urgent, now);
     state.record_active(&tables.fleet);
-    let acts = tables.fleet.acts_active(now);
-    let pace = tables.fleet.gossip_interval();
-    tables.board.set_report_interval(pace);
+    let acts_active = tables.fleet.acts_active(now);
+    let interval = tables.fleet.gossip_interval();
+    tables.board.set_report_interval(interval);
     tables
         .quota
-        .set_report_interval(pace * f64::from(HELLO_EVERY));
+        .set_report_interval(interval * f64::from(HELLO_EVERY));
     tables.board.forget(now);
     tables.quota.forget(now);
     tables.quarantine.forget(now);
@@ -149,8 +149,8 @@
     let mut messages = Vec::new();
     // The quarantine can't wait for the next hello: a request that ends replicas is sent to the
     // next replica within about 100 ms.
-    let news = tables.quarantine.take_unreported();
-    if news || state.intervals % HELLO_EVERY == 1 {
+    let unreported = tables.quarantine.take_unreported();
+    if unreported || state.intervals % HELLO_EVERY == 1 {
         messages.extend(tables.hellos(&header_state, &due, now));
     }
     messages.extend(tables.summaries(&header_state, &due, now));
@@ -169,11 +169,11 @@
             let header = MessageHeader::new(&header_state, due.active_next);
             let mut message = LoadMessage::new(header, &loads);
             message.to_active = to_active;
-            message.from_active = acts;
+            message.from_active = acts_active;
             messages.push((PeerMessage::Loads(message), to));
         }
     }
-    (messages, pace.into())
+    (messages, interval.into())
 }
 
 impl Tables {
@@ -192,19 +192,19 @@
 
     /// Returns hello messages, with counts, for the active routers and the busy standbys.
     fn hellos(&mut self, state: &SenderState, due: &Recipients, now: Time) -> Vec<Addressed> {
-        let near: Vec<SocketAddr> = due
+        let active: Vec<SocketAddr> = due
             .active_peers
             .iter()
             .chain(&due.addressed)
             .copied()
             .collect();
-        let beside = due.busy_standbys.clone();
+        let busy = due.busy_standbys.clone();
         let mut all = Vec::new();
-        if near.is_empty() && beside.is_empty() {
+        if active.is_empty() && busy.is_empty() {
             return all;
         }
         let counts = self.quota.report(now);
-        for (to, next) in [(near, due.active_next), (beside, due.busy_next)] {
+        for (to, next) in [(active, due.active_next), (busy, due.busy_next)] {
             if !to.is_empty() {
                 let mut hello = self.hello(state, next, now);
                 hello.quarantine = self.quarantine.full_update(now);
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -38,8 +38,8 @@
     let now = gw.now();
     let tables = gw.tables();
     let routers = tables.fleet.eligible_count();
-    let patience = tables.fleet.standby_delay();
-    if tables.watch.confirmed_within(patience, now) {
+    let delay = tables.fleet.standby_delay();
+    if tables.watch.confirmed_within(delay, now) {
         return false;
     }
     !gw.is_leaving() && tables.watch.is_due(fastrand::f64(), routers, now)
--- a/crates/gateway/src/model/config.rs
+++ b/crates/gateway/src/model/config.rs
@@ -13,54 +13,54 @@
     xxhash_rust::xxh3::xxh3_64, //
 };
 
-/// A whole configuration of one version.
+/// One version of the configuration.
 #[derive(Debug, Clone, Default)]
 pub struct Config {
-    /// Its version; a later one is higher.
+    /// Version number, which increases with each change.
     pub version: u64,
-    /// The routes of each host in lower case, longest prefix first.
+    /// Routes by host name in lower case, longest prefix first.
     routes: HashMap<String, Vec<Arc<Route>>>,
-    /// The services by name.
+    /// Services by name.
     pub services: HashMap<ServiceId, Service>,
-    /// Who holds which key; none where requests need no key.
+    /// The workspace of each key; none if requests need no key.
     pub keys: Option<HashMap<String, WorkspaceId>>,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests.
     pub limits: Limits,
-    /// The shortest latency target among the streams that go to a service.
-    shortest: HashMap<ServiceId, Duration>,
+    /// The shortest_targets latency target among the streams that go to a service.
+    shortest_targets: HashMap<ServiceId, Duration>,
 }
 
-/// Where requests of a host and prefix go.
+/// A route of requests with a certain host and path prefix.
 #[derive(Debug, Clone)]
 pub struct Route {
-    /// Its name, for logs.
+    /// Name of the route, for log lines.
     pub name: String,
-    /// What starts the paths that it takes; begins and ends with a slash.
+    /// Path prefix; begins and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RouteKind,
-    /// Longest time that a caller is kept waiting.
+    /// Timeout of a request.
     pub timeout: Duration,
-    /// The time to an answer, or to a stream's first event, that is aimed at.
+    /// Target for the time to the answer, or to the first event of a stream.
     pub latency_target: Duration,
-    /// Services that share its requests, by weight.
+    /// Services that the requests are split among, with their weights.
     pub split: Vec<(ServiceId, u32)>,
-    /// Most replicas that one request may be sent to.
+    /// Maximum number of replicas that one request is sent to.
     pub max_attempts: u32,
-    /// Whether requests need no key.
+    /// Whether requests are accepted without a key.
     pub public: bool,
 }
 
-/// What may be repeated of a request.
+/// Whether a request may be repeated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
-    /// All of it.
+    /// It may be repeated.
     Idempotent,
-    /// Nothing: it runs at most once.
+    /// It runs at most once.
     Single,
-    /// It is answered by a stream of events.
+    /// It is answered with a stream of events.
     Stream {
-        /// Whether another replica can go on behind a given event.
+        /// Whether another replica can resume the stream after a given event.
         resume: bool,
     },
 }
@@ -68,33 +68,33 @@
 /// A service that replicas offer.
 #[derive(Debug, Clone, Default)]
 pub struct Service {
-    /// What is known of its engines; none for a plain service.
+    /// Properties of its engines; none for a plain service.
     pub engine: Option<Engine>,
 }
 
-/// What is known of a service's engines.
+/// Properties of a service's inference engines.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Engine {
-    /// Requests that one runs at once.
+    /// Requests that one engine runs at once.
     pub slots: u32,
-    /// Tokens that one has memory for.
+    /// Tokens that one engine has memory for.
     pub memory_tokens: u64,
-    /// Whether one can copy cached parts of prompts from another.
+    /// Whether an engine can copy cached parts of prompts from another.
     pub copies_cache: bool,
 }
 
-/// Bounds on what callers send, and what all workspaces share.
+/// Limits on callers' requests, and the capacity that all workspaces share.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Longest head, in bytes.
+    /// Maximum size of a request head.
     pub head_bytes: usize,
-    /// Longest body, in bytes.
+    /// Maximum size of a request body.
     pub body_bytes: usize,
-    /// Time from the first byte of a head to its last.
+    /// Timeout from the first byte of a head to its last.
     pub head_timeout: Duration,
-    /// How long a kept connection may stay idle.
+    /// How long a connection may stay idle between requests.
     pub idle_timeout: Duration,
-    /// What all replicas generate and read together, in tokens a second; 0 if not known.
+    /// Tokens per second that all replicas together read and generate; 0 if unknown.
     pub capacity: f64,
 }
 
@@ -116,7 +116,7 @@
         if route.is_stream() {
             for (service, _) in &route.split {
                 let least = self
-                    .shortest
+                    .shortest_targets
                     .entry(service.clone())
                     .or_insert(route.latency_target);
                 *least = route.latency_target.min(*least);
@@ -127,7 +127,7 @@
         routes.sort_by_key(|r| std::cmp::Reverse(r.prefix.len()));
     }
 
-    /// Finds the route of a request: of the host's prefixes that begin the path, the longest.
+    /// Finds the route of a request: the one of its host with the longest prefix of its path.
     ///
     /// # Examples
     ///
@@ -142,36 +142,36 @@
         routes.iter().find(|r| path.starts_with(&r.prefix))
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn route_count(&self) -> usize {
         self.routes.values().map(Vec::len).sum()
     }
 
-    /// Returns the shortest latency target among the streams that go to a service.
+    /// Returns the shortest_targets latency target among the streams that go to a service.
     ///
-    /// Requests with a longer one share its engines, so they must not let a backlog stand
-    /// that makes those with the shortest late.
+    /// Requests with a longer target share the engines, and must not keep up a backlog that delays
+    /// those with the shortest_targets beyond their target.
     pub fn shortest_target(&self, service: &ServiceId) -> Option<Duration> {
-        self.shortest.get(service).copied()
+        self.shortest_targets.get(service).copied()
     }
 }
 
 impl Route {
-    /// Chooses the service of a request by the weights, the same each time for one id.
+    /// Chooses a service according to the weights. A request id always gets the same service.
     pub fn service(&self, id: &str) -> Option<&ServiceId> {
         let total: u64 = self.split.iter().map(|(_, w)| u64::from(*w)).sum();
-        let mut at = xxh3_64(id.as_bytes()) % total.max(1);
+        let mut point = xxh3_64(id.as_bytes()) % total.max(1);
         for (service, weight) in &self.split {
             let weight = u64::from(*weight);
-            if at < weight {
+            if point < weight {
                 return Some(service);
             }
-            at -= weight;
+            point -= weight;
         }
         self.split.first().map(|(service, _)| service)
     }
 
-    /// Tells whether a request that may have run can be sent again from the start.
+    /// Returns whether a request that may have run can be repeated from the start.
     pub fn is_repeatable(&self) -> bool {
         matches!(
             self.kind,
@@ -179,7 +179,7 @@
         )
     }
 
-    /// Tells whether it is answered by a stream.
+    /// Returns whether requests are answered with streams.
     pub fn is_stream(&self) -> bool {
         matches!(self.kind, RouteKind::Stream { .. })
     }
--- a/crates/gateway/src/model/dialect.rs
+++ b/crates/gateway/src/model/dialect.rs
@@ -1,4 +1,4 @@
-//! How callers, replicas and the platform speak, given to the gateway from outside.
+//! Headers and formats of callers, replicas and the platform, supplied from outside the gateway.
 
 use {
     super::{
@@ -13,47 +13,48 @@
     },
 };
 
-/// The names of headers and calls, and how messages are read.
+/// Names of headers and paths, and functions that parse messages.
 #[derive(Debug, Clone, Copy)]
 pub struct Dialect {
-    /// Header with the caller's id of a request, which replicas echo.
+    /// Header with the request id that the caller chose; replicas echo it.
     pub id: &'static str,
-    /// Header with the milliseconds that the caller, or the router, waits.
+    /// Header with the time that the caller, or the router, waits, in milliseconds.
     pub deadline: &'static str,
     /// Header with a workspace's key.
     pub key: &'static str,
-    /// Header that tells a replica the workspace.
+    /// Header with the workspace, sent to replicas.
     pub workspace: &'static str,
-    /// Header that names the only replica which may run the request.
+    /// Header with the id of the only replica that may run the request.
     pub expected_replica: &'static str,
-    /// Header in which a replica says that it did not run the request.
+    /// Header with which a replica reports that it did not run the request.
     pub not_run: &'static str,
-    /// Header by which a replica signs its answer.
+    /// Header with the replica's signature of its answer.
     pub signature: &'static str,
-    /// Header with the last event of a stream that the caller has.
+    /// Header with the id of the last stream event that the caller received.
     pub last_event: &'static str,
     /// Header with the address of a replica that has parts of the prompt cached.
     pub copy_from: &'static str,
-    /// Other headers by which a router orders an engine what to keep, reserve or hand over. A
-    /// caller's own would spend memory that all workspaces share.
+    /// Other headers with which a router tells an engine what to keep, reserve or hand over. They
+    /// are removed from callers' requests, which could otherwise use up memory that all workspaces
+    /// share.
     pub engine_controls: &'static [&'static str],
-    /// Header that tells when to come back, in seconds.
+    /// Header with the time after which to retry, in seconds.
     pub retry_after: &'static str,
-    /// Path at which the platform asks whether this instance is ready.
+    /// Path of the platform's readiness check.
     pub ready_path: &'static str,
-    /// Reads the prompt that a request's headers describe.
+    /// Parses the headers that describe a prompt.
     pub parse_prompt: fn(&Headers) -> Option<Prompt>,
-    /// Reads a configuration.
+    /// Parses a configuration.
     pub parse_config: fn(&[u8]) -> Result<Config, String>,
-    /// Reads one replica's entry.
+    /// Parses the entry of a replica, given its id.
     pub parse_replica: fn(&str, &[u8]) -> Result<Replica, String>,
-    /// Reads a caller's question for addresses; none where the target is another.
+    /// Parses the target of a caller's request for addresses; none if it is another request.
     pub parse_address_query: fn(&str) -> Option<AddressQuery>,
-    /// Writes the answer to it: the addresses and how long to keep them.
+    /// Encodes the answer to it: addresses, and how long callers may keep them.
     pub encode_addresses: fn(&[SocketAddr], Duration) -> Vec<u8>,
 }
 
-/// Who asks for addresses.
+/// A caller's request for addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct AddressQuery {
     /// The caller's availability zone.
--- a/crates/gateway/src/model/mod.rs
+++ b/crates/gateway/src/model/mod.rs
@@ -1,4 +1,4 @@
-//! What the gateway knows of routes, services, workspaces and replicas, in its own words.
+//! The gateway's own types for configuration, replicas and the platform's store.
 
 mod config;
 mod dialect;
--- a/crates/gateway/src/model/replica.rs
+++ b/crates/gateway/src/model/replica.rs
@@ -1,4 +1,4 @@
-//! Replicas as they are listed.
+//! Entries of the list of replicas.
 
 use {
     policy::{
@@ -15,28 +15,28 @@
     std::net::SocketAddr, //
 };
 
-/// One start of one replica.
+/// A replica, from one start to its end.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Replica {
-    /// Its id, which a later start may bear again.
+    /// The replica's id, which a later start may reuse.
     pub id: ReplicaId,
-    /// When it started, if it tells; with the id it names this start alone.
+    /// Time of its start, if it reports one. Together with the id it identifies this start.
     #[serde(rename = "born")]
     pub started_at: Option<StartedAt>,
-    /// What it offers.
+    /// The service that it offers.
     pub service: ServiceId,
-    /// Where it listens. Another replica may get the address once this one is gone.
+    /// Where it listens. Another replica may reuse the address after this one departed.
     pub addr: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// Requests that it works on at once.
+    /// Requests that it runs at once.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: State,
 }
 
 impl Replica {
-    /// Returns the short name of this start, under which all is remembered of it.
+    /// Returns the key of this start, by which the gateway stores data on it.
     ///
     /// # Examples
     ///
@@ -54,11 +54,11 @@
     }
 }
 
-/// Whether a replica takes new work.
+/// Whether a replica accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum State {
-    /// It takes requests.
+    /// It accepts requests.
     Ready,
-    /// It finishes what it has and then ends.
+    /// It finishes its running requests and then ends.
     Draining,
 }
--- a/crates/gateway/src/model/store.rs
+++ b/crates/gateway/src/model/store.rs
@@ -1,4 +1,4 @@
-//! What the gateway asks of the platform's store.
+//! Calls to the platform's store.
 
 use {
     super::Replica,
@@ -14,38 +14,38 @@
 
 pub use policy::Revision;
 
-/// An answer that is on its way.
+/// The result of a call to the store.
 pub type StoreFuture<T> = Pin<Box<dyn Future<Output = Result<T, StoreError>> + Send>>;
 
-/// Calls to the store. Each makes one call, or one for each page, and repeats nothing.
+/// Calls to the store. Each sends one request, or one for each page, and never retries.
 pub struct Store {
     /// Reads the configuration.
     pub read_config: Box<dyn Fn() -> StoreFuture<Option<Versioned>> + Send + Sync>,
-    /// Waits for a change of the configuration after a revision.
+    /// Waits for a change of the configuration after a revision, for at most the given time.
     pub watch_config: Box<dyn Fn(Revision, Duration) -> StoreFuture<WatchResult> + Send + Sync>,
-    /// Lists all replicas as they are now.
+    /// Lists all replicas, up to date.
     pub list_replicas: Box<dyn Fn() -> StoreFuture<ReplicaList> + Send + Sync>,
-    /// Lists what routers have registered; may be seconds old.
+    /// Lists the entries of routers, which may be outdated by seconds.
     pub list_routers: Box<dyn Fn() -> StoreFuture<Vec<RegisteredRouter>> + Send + Sync>,
-    /// Takes out a lease of this length, and returns it.
+    /// Takes out a lease of this duration.
     pub grant_lease: Box<dyn Fn(Duration) -> StoreFuture<Lease> + Send + Sync>,
-    /// Renews a lease; false where it has ended.
+    /// Renews a lease. Returns false if it has ended.
     pub renew_lease: Box<dyn Fn(Lease) -> StoreFuture<bool> + Send + Sync>,
     /// Registers a router of this name under a lease. Returns the revision of its entry.
     pub register: Box<dyn Fn(String, Vec<u8>, Lease) -> StoreFuture<Revision> + Send + Sync>,
-    /// Deletes the entry of a router of this name, if it is still as it was written at this revision;
-    /// false where it is not.
+    /// Deletes the entry of a router of this name if it is unchanged since this revision. Returns
+    /// false if it is not.
     pub unregister: Box<dyn Fn(String, Revision) -> StoreFuture<bool> + Send + Sync>,
-    /// Returns the newest era that an answer named.
+    /// Returns the newest era that any answer reported.
     pub newest_era: Box<dyn Fn() -> Era + Send + Sync>,
 }
 
-/// A lease, in the era in which it was given out.
+/// A lease, and the era in which it was granted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lease {
-    /// The era that the number belongs to.
+    /// The era in which the id is valid.
     pub era: Era,
-    /// Its number.
+    /// Id of the lease.
     pub id: u64,
 }
 
@@ -58,12 +58,12 @@
     pub revision: Revision,
 }
 
-/// What a router has registered, as the store has it.
+/// The stored entry of a router.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RegisteredRouter {
     /// The bytes as they were stored.
     pub value: Vec<u8>,
-    /// Number of the lease that it stands under.
+    /// Id of the lease that it is bound to.
     pub lease: u64,
 }
 
@@ -78,33 +78,33 @@
 pub struct Versioned {
     /// The bytes as they were stored.
     pub value: Vec<u8>,
-    /// The store's revision, from which a watch goes on.
+    /// The store's revision at the time, from which a watch can continue.
     pub revision: Revision,
 }
 
-/// What a watch told.
+/// The result of a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchResult {
-    /// The newest value among the changes, if there was any.
+    /// The newest value among the changes, if there were any.
     pub value: Option<Vec<u8>>,
-    /// The revision to go on from.
+    /// The revision to continue from.
     pub revision: Revision,
 }
 
-/// Why the store gave no answer.
+/// Why a call to the store failed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum StoreError {
-    /// Nothing was heard in time, or nobody could be reached.
+    /// No connection, or no answer in time.
     #[error("the store gave no answer: {0}")]
     Lost(String),
-    /// It turned the call away.
-    #[error("the store turned the call away with status {0}")]
+    /// The store rejected the call with this status.
+    #[error("the store rejected the call with status {0}")]
     Refused(u16),
-    /// The history asked for is no longer kept.
-    #[error("the store no longer keeps the history from that revision on")]
+    /// The requested history is no longer available.
+    #[error("the store no longer has the history since that revision")]
     Compacted,
-    /// The answer was not understood.
-    #[error("the store's answer was not understood: {0}")]
+    /// The answer could not be decoded.
+    #[error("the store's answer could not be decoded: {0}")]
     Form(String),
 }
 
