--- a/crates/gateway/src/fleet/receiver.rs
+++ b/crates/gateway/src/fleet/receiver.rs
@@ -229,7 +229,7 @@
             .roster
             .peer_list(header.list_age(), header.list_digest, now);
         drop(tables);
-        gw.note_peer_era(header.era, from);
+        gw.record_peer_era(header.era, from);
         if newer {
             let gw = gw.clone();
             self.list_fetch
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -78,7 +78,7 @@
 /// Reads the configuration and applies it. Returns the revision to watch from.
 async fn read(gw: &Shared) -> Option<Revision> {
     let read = (gw.store.read_config)().await;
-    gw.note_store("config", read.as_ref().err());
+    gw.record_store_call("config", read.as_ref().err());
     if read == Ok(None) {
         log::debug!("event=config outcome=none from={SOURCE}");
     }
@@ -96,7 +96,7 @@
     log::info!("event=watch outcome=begun revision={revision}");
     let cause = loop {
         let watched = (gw.store.watch_config)(revision, Watch::LONG_POLL_TIMEOUT.into()).await;
-        gw.note_store("watch", watched.as_ref().err());
+        gw.record_store_call("watch", watched.as_ref().err());
         match watched {
             Ok(watched) => {
                 gw.tables().watch.confirmed(gw.now());
--- a/crates/gateway/src/follow/registration.rs
+++ b/crates/gateway/src/follow/registration.rs
@@ -218,7 +218,7 @@
     async fn look_up_routers(&mut self, gw: &Shared) {
         let asked_at = gw.now();
         let listed = (gw.store.list_routers)().await;
-        gw.note_store("routers", listed.as_ref().err());
+        gw.record_store_call("routers", listed.as_ref().err());
         let Ok(listed) = listed else { return };
         let entries = decode_entries(&listed);
         for (entry, _) in &entries {
@@ -255,7 +255,7 @@
 async fn unregister(gw: &Shared, entry: LocalEntry) {
     let name = gw.settings.name.to_string();
     let deleted = (gw.store.unregister)(name, entry.revision).await;
-    gw.note_store("unregister", deleted.as_ref().err());
+    gw.record_store_call("unregister", deleted.as_ref().err());
     if deleted != Ok(true) {
         let LocalEntry {
             lease, revision, ..
@@ -267,7 +267,7 @@
 /// Renews the lease. Returns false if it has ended.
 async fn renew(gw: &Shared, lease: Lease) -> bool {
     let renewed = (gw.store.renew_lease)(lease).await;
-    gw.note_store("renew", renewed.as_ref().err());
+    gw.record_store_call("renew", renewed.as_ref().err());
     // If the call failed the lease may still be valid, so the entry is kept and renewed again
     // later.
     let ended = renewed == Ok(false);
@@ -280,7 +280,7 @@
 /// Takes out a lease and writes the entry under it.
 async fn register(gw: &Shared) -> Option<LocalEntry> {
     let lease = (gw.store.grant_lease)(LEASE_DURATION).await;
-    gw.note_store("lease", lease.as_ref().err());
+    gw.record_store_call("lease", lease.as_ref().err());
     let lease = lease.ok()?;
     let renewed_at = Instant::now();
     let revision = write_entry(gw, lease).await?;
@@ -311,7 +311,7 @@
         }
     };
     let written = (gw.store.register)(entry.name.to_string(), bytes, lease).await;
-    gw.note_store("register", written.as_ref().err());
+    gw.record_store_call("register", written.as_ref().err());
     written.ok()
 }
 
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -42,7 +42,7 @@
             continue;
         }
         let read = (gw.store.list_replicas)().await;
-        gw.note_store("replicas", read.as_ref().err());
+        gw.record_store_call("replicas", read.as_ref().err());
         match read {
             Ok(list) => apply_store_list(&gw, list),
             Err(_) => {
@@ -122,5 +122,5 @@
         gw.pool.forget(id);
         log::info!("event=replica outcome=left replica={id} from={from}");
     }
-    gw.listed.store(true, Ordering::Relaxed);
+    gw.replicas_listed.store(true, Ordering::Relaxed);
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,18 +1,18 @@
-//! Routes opaque requests by host and path to replicas, beside its peers.
+//! A router of a fleet, which forwards opaque requests by host and path to replicas.
 //!
-//! It decides nothing by itself: where a request goes, who is refused and what is repeated
-//! comes from `policy`. How callers, replicas and the platform speak is given from outside
-//! as a [`Dialect`] and a [`Store`].
+//! Decisions come from `policy`: where a request goes, whose requests are rejected and what is
+//! retried. The headers and formats of callers, replicas and the platform are supplied from
+//! outside, as a [`Dialect`] and a [`Store`].
 
 mod clock;
 mod fleet;
 mod follow;
 mod http;
-mod leave;
 mod logs;
 mod model;
 mod serve;
 mod settings;
+mod shutdown;
 mod start;
 mod state;
 mod upstream;
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: bounded in number, written by a thread of their own.
+//! Log output, limited in rate and written by a separate thread.
 
 use {
     crate::clock::unix_ms,
@@ -25,32 +25,32 @@
     },
 };
 
-/// Lines that may wait to be written. Beyond them lines are dropped and counted: a reader
-/// that stands still must not hold a request up.
-const WAITING: usize = 2_000;
-/// Lines written in a second. At 60 requests a second an instance writes about 70; a flood of
-/// ten times that leaves some out, and says how many.
-const PER_SECOND: u32 = 400;
+/// Lines queued for writing. If the queue is full, lines are dropped and counted: a blocked reader
+/// of the output must not delay requests.
+const QUEUE_LINES: usize = 2_000;
+/// An instance writes about 70 lines per second at 60 requests per second. In a flood of ten times
+/// as many requests some lines are dropped, and their number is logged.
+const MAX_LINES_PER_SECOND: u32 = 400;
 
 /// Starts logging to the standard output, in lines of `key=value` pairs.
 ///
-/// A second start in the same process changes nothing.
+/// Further calls in the same process have no effect.
 pub fn start_logs(level: LevelFilter) {
-    let (tx, rx) = sync_channel::<String>(WAITING);
-    let bound = Mutex::new(Rate::new());
+    let (tx, rx) = sync_channel::<String>(QUEUE_LINES);
+    let bound = Mutex::new(RateLimit::new());
     let output = Output::call(move |record| {
         let important = record.level() <= log::Level::Warn;
         let mut rate = bound.lock().unwrap_or_else(PoisonError::into_inner);
         if !rate.allows(important) {
             return;
         }
-        let left_out = std::mem::take(&mut rate.left_out);
-        let line = match left_out {
+        let dropped = std::mem::take(&mut rate.dropped);
+        let line = match dropped {
             0 => record.args().to_string(),
             n => format!("{} left-out-before={n}", record.args()),
         };
         if let Err(TrySendError::Full(_)) = tx.try_send(line) {
-            rate.left_out += 1 + left_out;
+            rate.dropped += 1 + dropped;
         }
     });
     let started = fern::Dispatch::new()
@@ -64,54 +64,54 @@
         .apply();
     match started {
         Ok(()) => {
-            std::thread::spawn(move || write(&rx));
+            std::thread::spawn(move || write_lines(&rx));
         }
         Err(_) => log::debug!("event=logs outcome=running-already"),
     }
 }
 
-fn write(lines: &Receiver<String>) {
+fn write_lines(lines: &Receiver<String>) {
     while let Ok(line) = lines.recv() {
         let mut out = line;
         out.push('\n');
-        // What waits goes with it in one write.
+        // Write all queued lines at once.
         while let Ok(more) = lines.try_recv() {
             out.push_str(&more);
             out.push('\n');
         }
-        // Nobody reads any more; there is nobody to tell either.
+        // The output is closed, so the error can't be logged either.
         if io::stdout().write_all(out.as_bytes()).is_err() {
             return;
         }
     }
 }
 
-/// A bound on lines in each second.
-struct Rate {
-    since: Instant,
+/// Limits the number of lines in each second.
+struct RateLimit {
+    second_began: Instant,
     lines: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-impl Rate {
-    fn new() -> Rate {
-        Rate {
-            since: Instant::now(),
+impl RateLimit {
+    fn new() -> RateLimit {
+        RateLimit {
+            second_began: Instant::now(),
             lines: 0,
-            left_out: 0,
+            dropped: 0,
         }
     }
 
     fn allows(&mut self, important: bool) -> bool {
-        if self.since.elapsed() >= Duration::from_secs(1) {
-            self.since = Instant::now();
+        if self.second_began.elapsed() >= Duration::from_secs(1) {
+            self.second_began = Instant::now();
             self.lines = 0;
         }
         self.lines += 1;
-        // Warnings have as much again.
-        let most = PER_SECOND * if important { 2 } else { 1 };
-        let allowed = self.lines <= most;
-        self.left_out += u64::from(!allowed);
+        // Warnings may use twice as many lines.
+        let limit = MAX_LINES_PER_SECOND * if important { 2 } else { 1 };
+        let allowed = self.lines <= limit;
+        self.dropped += u64::from(!allowed);
         allowed
     }
 }
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -17,37 +17,37 @@
     thiserror::Error, //
 };
 
-/// The settings of one instance, from a TOML file. Keys that are not known are ignored.
+/// The settings of one instance, from a TOML file. Unknown keys are ignored.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
-    /// Its name, unique in the fleet.
+    /// Name of the instance, unique in the fleet.
     pub name: RouterId,
     /// Its availability zone.
     pub zone: Zone,
-    /// Where it listens.
+    /// Addresses to listen on.
     pub listen: Listen,
     /// The rest of the fleet.
     pub fleet: Fleet,
     /// The platform's store.
     pub store: StoreSettings,
-    /// What the users allow.
+    /// Time limits and budgets that the operators set.
     pub bounds: Bounds,
-    /// What the instance has.
+    /// Resources of the instance.
     pub instance: Instance,
-    /// How the choice among engines is weighed, where not as usual.
+    /// Weights for the choice among replicas that differ from the defaults.
     #[serde(default)]
     pub placement: Tuning,
 }
 
-/// Where an instance listens.
+/// Addresses that an instance listens on.
 #[derive(Debug, Clone, Deserialize)]
 pub struct Listen {
     /// For callers' requests.
     pub callers: SocketAddr,
-    /// For the question whether it is ready.
+    /// For the readiness check.
     pub ready: SocketAddr,
-    /// For callers who ask which address to use.
+    /// For callers that ask which router to use.
     pub addresses: SocketAddr,
     /// For the other routers, over UDP and TCP.
     pub peers: SocketAddr,
@@ -59,29 +59,29 @@
 #[derive(Debug, Clone, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Fleet {
-    /// Any addresses of a few other instances. Only their IP addresses count: routers all
-    /// listen for each other at the same port.
+    /// Any addresses of a few other instances. Only their IP addresses are used, as all routers
+    /// listen for peers on the same port.
     pub seeds: Vec<SocketAddr>,
-    /// Time between two words on this router's load to each peer, in milliseconds.
+    /// Time between two load messages to each peer, in milliseconds.
     #[serde(default = "default_heartbeat_ms")]
     #[serde(rename = "beat-ms")]
     pub heartbeat_ms: u64,
-    /// Least number of routers that take callers, where there are as many.
+    /// Minimum number of active routers, if the fleet has as many.
     #[serde(default = "default_min_active")]
     #[serde(rename = "active")]
     pub min_active: usize,
 }
 
-/// Least number of routers that take callers: with one goes a twelfth of what is served, until its
-/// callers have gone elsewhere. Each tells each other its loads, so that with twice as many there are
-/// four times as many words.
+/// With 12 active routers, the failure of one interrupts a twelfth of all requests until its
+/// callers use others. Active routers all send each other their loads, so twice as many routers
+/// would send four times as many messages.
 fn default_min_active() -> usize {
     12
 }
 
-/// Requests that others sent in this time are not counted in a decision: three or four for
-/// each engine at 420 requests a second over 12 engines. Words every 80 ms take 23 KB/s of a
-/// router of 7, where 21 are allowed; at 120 ms about 0.01 less of what is owed was served.
+/// Decisions don't account for requests that other routers sent in this time: three or four for
+/// each engine at 420 requests per second over 12 engines. At 80 ms a router of 7 sends 23 KB/s,
+/// where 21 are allowed; at 120 ms the share of due work that is served is about 0.01 lower.
 fn default_heartbeat_ms() -> u64 {
     100
 }
@@ -93,23 +93,23 @@
     pub address: SocketAddr,
 }
 
-/// What the users allow, in the unit of each name.
+/// Time limits and budgets. The names contain the units.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Bounds {
-    /// From SIGTERM to SIGKILL.
+    /// Time from SIGTERM to SIGKILL.
     pub grace_s: f64,
-    /// Retries for each first try, over the fleet.
+    /// Allowed retries for each first attempt, across the fleet.
     pub retry_ratio: f64,
-    /// Retries that are allowed besides in each window, over the fleet.
+    /// Retries allowed in addition to that in each window, across the fleet.
     pub retry_slack: f64,
-    /// The length of that window.
+    /// Length of that window.
     pub retry_window_s: f64,
     /// The window over which workspaces have fair shares.
     pub fair_window_s: f64,
 }
 
-/// What the instance has.
+/// Resources of the instance.
 #[derive(Debug, Clone, Copy, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Instance {
@@ -117,24 +117,24 @@
     pub memory_mb: u64,
     /// File descriptors that the process may use.
     pub descriptors: u32,
-    /// Processor time that it has, in cores.
+    /// Processor time of the instance, in cores.
     #[serde(default = "default_processor")]
     pub processor: f32,
 }
 
-/// An instance that does not know what it has counts as one of the smallest.
+/// Without the setting an instance counts as one of the smallest.
 fn default_processor() -> f32 {
     0.12
 }
 
-/// Why settings were not accepted.
+/// Why settings were rejected.
 #[derive(Debug, Error, Diagnostic)]
 pub enum SettingsError {
     /// The file could not be read.
     #[error("{0} can't be read: {1}")]
     #[diagnostic(help("give the path of the settings file, readable by this process"))]
     File(String, std::io::Error),
-    /// Something is missing or wrong in it.
+    /// A setting is missing or invalid.
     #[error("{0}: {1}")]
     #[diagnostic(help("give the setting that is named; deploy/settings.toml shows all of them"))]
     Wrong(String, String),
@@ -145,7 +145,7 @@
     ///
     /// # Errors
     ///
-    /// When it can't be read, or names the setting that is missing or wrong.
+    /// If the file can't be read, or a setting is missing or invalid; the error names it.
     pub fn from_file(path: &Path) -> Result<Settings, SettingsError> {
         let name = path.display().to_string();
         let text = fs::read_to_string(path).map_err(|e| SettingsError::File(name.clone(), e))?;
@@ -156,7 +156,7 @@
     ///
     /// # Errors
     ///
-    /// Names the setting that is missing or wrong.
+    /// If a setting is missing or invalid; the error names it.
     ///
     /// # Examples
     ///
@@ -165,19 +165,19 @@
     /// assert!(error.to_string().contains("missing field `name`"));
     /// ```
     pub fn parse(name: &str, text: &str) -> Result<Settings, SettingsError> {
-        let wrong = |e: String| SettingsError::Wrong(name.to_owned(), e);
-        let settings: Settings = toml::from_str(text).map_err(|e| wrong(e.to_string()))?;
-        settings.bounds.check().map_err(wrong)?;
+        let invalid = |e: String| SettingsError::Wrong(name.to_owned(), e);
+        let settings: Settings = toml::from_str(text).map_err(|e| invalid(e.to_string()))?;
+        settings.bounds.check().map_err(invalid)?;
         Ok(settings)
     }
 }
 
 impl Settings {
-    /// Returns where the instances that the settings name hear their peers.
+    /// Returns the addresses on which the seeds listen for peers.
     pub(crate) fn seeds(&self) -> Vec<SocketAddr> {
         let port = self.listen.peers.port();
-        let named = self.fleet.seeds.iter();
-        named
+        let seeds = self.fleet.seeds.iter();
+        seeds
             .map(|seed| SocketAddr::new(seed.ip(), port))
             .filter(|addr| *addr != self.listen.peers)
             .collect()
@@ -186,21 +186,21 @@
 
 impl Bounds {
     fn check(&self) -> Result<(), String> {
-        let above = [
+        let positive = [
             ("grace-s", self.grace_s),
             ("retry-window-s", self.retry_window_s),
             ("fair-window-s", self.fair_window_s),
         ];
-        for (name, value) in above {
+        for (name, value) in positive {
             if !(value.is_finite() && value > 0.0) {
                 return Err(format!("bounds.{name} is {value}; give a number above 0"));
             }
         }
-        let least = [
+        let non_negative = [
             ("retry-ratio", self.retry_ratio),
             ("retry-slack", self.retry_slack),
         ];
-        for (name, value) in least {
+        for (name, value) in non_negative {
             if !(value.is_finite() && value >= 0.0) {
                 return Err(format!("bounds.{name} is {value}; give 0 or more"));
             }
--- a/crates/gateway/src/leave.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! The end of an instance, and changed settings.
+//! Shutdown of an instance, and reloading of its settings.
 
 use {
     crate::{
@@ -35,37 +35,36 @@
     },
 };
 
-/// How long requests are still taken. Most callers have asked for addresses anew by then, and
-/// what is taken has at least half of the grace period to end.
-const TAKES: Duration = Duration::from_millis(2_700);
-/// How long callers may still come with an address that they keep: three times as long as an
-/// answer says, and the time that a request takes to be sent. They are told to go elsewhere,
-/// where a closed port would cost them up to a second.
-const LINGER: Duration = Duration::from_millis(3_400);
-/// What is kept of the grace period, so that the process ends by itself.
-const MARGIN: Duration = Duration::from_millis(400);
-/// How often it is looked whether requests are still served.
-const LOOK: Duration = Duration::from_millis(25);
+/// How long requests are still accepted. Most callers have requested new addresses by then, and
+/// each accepted request has at least half of the grace period to finish.
+const ACCEPT_DURATION: Duration = Duration::from_millis(2_700);
+/// How long the instance listens for callers that still use its address: three times as long as an
+/// answer allows them to keep it, and the time to send a request. Their requests are rejected with
+/// the advice to use another router; a closed port would cost them up to a second.
+const LISTEN_DURATION: Duration = Duration::from_millis(3_400);
+/// Part of the grace period that is left for the process to exit before it is killed.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
+const POLL_INTERVAL: Duration = Duration::from_millis(25);
 
-/// What a signal asks for.
+/// What the process is to do on a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Signal {
     End,
     Reload,
 }
 
-/// Passes on signals.
-pub(crate) fn signals() -> io::Result<Receiver<Signal>> {
+/// Handles the process signals, and passes them on over a channel.
+pub(crate) fn receive_signals() -> io::Result<Receiver<Signal>> {
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let (tx, rx) = unbounded();
     std::thread::spawn(move || {
         for signal in signals.forever() {
-            let asked = if signal == SIGHUP {
+            let action = if signal == SIGHUP {
                 Signal::Reload
             } else {
                 Signal::End
             };
-            if tx.try_send(asked).is_err() {
+            if tx.try_send(action).is_err() {
                 return;
             }
         }
@@ -73,7 +72,7 @@
     Ok(rx)
 }
 
-/// Looks at changed settings. Addresses are taken at the start only.
+/// Reloads the settings. Only new seeds take effect; addresses can't be changed at run time.
 pub(crate) fn reload(gw: &Shared, path: &Path) {
     match Settings::from_file(path) {
         Ok(new) => {
@@ -90,11 +89,12 @@
     }
 }
 
-/// Ends the instance without cutting a request in flight.
+/// Shuts the instance down without aborting requests in flight.
 ///
-/// Callers keep an address for a while, so requests are taken and served that long; answers
-/// tell the callers to close. What runs is then finished, as far as the grace period goes.
-pub(crate) async fn end(gw: &Arc<Shared>, stop: Sender<()>) {
+/// Callers keep addresses for a while, so requests are accepted for that long, and answers ask the
+/// callers to close their connection. Then running requests are finished, as far as the grace
+/// period allows.
+pub(crate) async fn shut_down(gw: &Arc<Shared>, stop: Sender<()>) {
     let began = Instant::now();
     gw.leaving.store(true, Ordering::SeqCst);
     gw.announce_to_all();
@@ -102,22 +102,22 @@
         "event=stop outcome=leaving active={}",
         gw.active_requests.load(Ordering::Relaxed)
     );
-    let last = gw.settings.bounds.grace().saturating_sub(MARGIN);
-    task::sleep(TAKES.min(last)).await;
+    let deadline = gw.settings.bounds.grace().saturating_sub(EXIT_MARGIN);
+    task::sleep(ACCEPT_DURATION.min(deadline)).await;
     gw.rejecting.store(true, Ordering::SeqCst);
-    while began.elapsed() < LINGER.min(last) {
-        task::sleep(LOOK).await;
+    while began.elapsed() < LISTEN_DURATION.min(deadline) {
+        task::sleep(POLL_INTERVAL).await;
     }
     stop.close();
     drop(stop);
-    while gw.active_requests.load(Ordering::Relaxed) > 0 && began.elapsed() < last {
-        task::sleep(LOOK).await;
+    while gw.active_requests.load(Ordering::Relaxed) > 0 && began.elapsed() < deadline {
+        task::sleep(POLL_INTERVAL).await;
     }
     log::info!(
         "event=stop outcome=done active={} ms={}",
         gw.active_requests.load(Ordering::Relaxed),
         began.elapsed().as_millis()
     );
-    // The thread that writes log lines has this much to end.
-    task::sleep(LOOK).await;
+    // Let the thread that writes log lines finish.
+    task::sleep(POLL_INTERVAL).await;
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,18 +1,18 @@
-//! Starting an instance and its tasks.
+//! Starts an instance and its tasks.
 
 use {
     crate::{
         fleet,
         follow,
-        leave::{
-            self,
-            Signal, //
-        },
         model::{
             Dialect,
             Store, //
         },
         serve,
+        shutdown::{
+            self,
+            Signal, //
+        },
         state::Shared,
         Settings, //
     },
@@ -40,52 +40,52 @@
     },
 };
 
-/// How often idle connections and old counts are tidied up.
-const TIDY: Duration = Duration::from_secs(1);
-/// Most workspaces whose refusals are logged at a time.
-const MOST_REFUSED: usize = 8;
-/// Upper bounds of the histogram of times to the first byte, in seconds.
-const BUCKETS: [f64; 12] = [
+/// How often idle connections are closed and rejections are logged.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_secs(1);
+/// Rejections are logged for at most this many workspaces at a time.
+const MAX_LOGGED_WORKSPACES: usize = 8;
+/// Upper bounds of the histogram of times to the first byte.
+const FIRST_BYTE_BUCKETS_S: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.4, 0.8, 1.5, 3.0, 6.0, 15.0,
 ];
 
-/// An instance that runs in this process.
+/// A running instance in this process.
 #[derive(Debug)]
 pub struct Gateway {
     shared: Arc<Shared>,
     stop: Sender<()>,
 }
 
-/// Runs an instance until it is told to end.
+/// Runs an instance until a signal ends it.
 ///
 /// # Errors
 ///
-/// Where an address can't be had, or signals can't be taken.
+/// If an address can't be bound or signals can't be handled.
 pub fn run(settings: Settings, path: &Path, dialect: Dialect, store: Store) -> io::Result<()> {
-    let signals = leave::signals()?;
+    let signals = shutdown::receive_signals()?;
     let handle = start_metrics();
     task::block_on(async {
         let gateway = start_with(settings, dialect, store, handle).await?;
         while let Ok(Signal::Reload) = signals.recv().await {
-            leave::reload(&gateway.shared, path);
+            shutdown::reload(&gateway.shared, path);
         }
         gateway.end().await;
         Ok(())
     })
 }
 
-/// Starts an instance; its tasks run on until the process ends.
+/// Starts an instance. Its tasks run until the process ends.
 ///
 /// # Errors
 ///
-/// Where an address can't be had.
+/// If an address can't be bound.
 pub async fn start(settings: Settings, dialect: Dialect, store: Store) -> io::Result<Gateway> {
     start_with(settings, dialect, store, None).await
 }
 
 fn start_metrics() -> Option<PrometheusHandle> {
     let builder = PrometheusBuilder::new()
-        .set_buckets(&BUCKETS)
+        .set_buckets(&FIRST_BYTE_BUCKETS_S)
         .map_err(|e| log::error!("event=metrics outcome=no-buckets cause={e:?}"))
         .ok()?;
     let recorder = builder.build_recorder();
@@ -133,25 +133,29 @@
     task::spawn(follow::follow_replicas(gw.clone()));
     task::spawn(follow::maintain_registration(gw.clone()));
     task::spawn(serve::accept(gw.clone(), callers, stopped));
-    task::spawn(close_expired(gw.clone()));
+    task::spawn(run_maintenance(gw.clone()));
     Ok(Gateway { shared: gw, stop })
 }
 
-async fn close_expired(gw: Arc<Shared>) {
+async fn run_maintenance(gw: Arc<Shared>) {
     loop {
-        task::sleep(TIDY).await;
+        task::sleep(MAINTENANCE_INTERVAL).await;
         gw.pool.close_expired();
-        log_shares(&gw);
+        log_rejections(&gw);
     }
 }
 
-/// Logs what was refused to whom in the last second, in tokens.
+/// Logs the tokens of rejected requests by workspace, once a second.
 ///
-/// As a warning, it is not left out where a flood of requests uses up the lines of a second.
-fn log_shares(gw: &Shared) {
+/// These lines are warnings, so that they are not dropped when a flood of requests exhausts the
+/// limit on log lines.
+fn log_rejections(gw: &Shared) {
     let (refused, active) = {
         let mut tables = gw.tables();
-        (tables.tally.take(MOST_REFUSED), tables.fleet.is_active())
+        (
+            tables.tally.take(MAX_LOGGED_WORKSPACES),
+            tables.fleet.is_active(),
+        )
     };
     for (workspace, outcomes) in refused {
         let Outcomes {
@@ -169,8 +173,8 @@
 }
 
 impl Gateway {
-    /// Ends it without cutting a request in flight.
+    /// Shuts the instance down without aborting requests in flight.
     pub async fn end(self) {
-        leave::end(&self.shared, self.stop).await;
+        shutdown::shut_down(&self.shared, self.stop).await;
     }
 }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! The tables of one gateway.
+//! Shared state of one gateway.
 
 use {
     crate::{
@@ -64,19 +64,18 @@
     },
 };
 
-/// File descriptors that are left for replicas, peers, the store and files, of all that the
-/// process may have: 12 kept and 30 running connections to each of 12 replicas, and as much
-/// again.
-const DESCRIPTORS_LEFT: usize = 1_200;
+/// File descriptors reserved for replicas, peers, the store and files: 12 idle and 30 busy
+/// connections to each of 12 replicas, and the same number again.
+const RESERVED_DESCRIPTORS: usize = 1_200;
 
-/// A configuration that is in force, and the bytes it was read from, for peers.
+/// The configuration in force, and the document that it was parsed from, for peers.
 #[derive(Debug)]
 pub(crate) struct CurrentConfig {
     pub(crate) config: Config,
     pub(crate) document: Vec<u8>,
 }
 
-/// Everything that decisions are made from.
+/// State that decisions are based on.
 #[derive(Debug)]
 pub(crate) struct Tables {
     pub(crate) roster: Roster<Arc<Replica>>,
@@ -84,24 +83,24 @@
     pub(crate) health: ReplicaMap<Health>,
     pub(crate) speeds: Speeds,
     pub(crate) latencies: Latencies,
-    /// When a prompt's shared part was last sent to a replica.
+    /// When the shared part of a prompt was last sent to a replica.
     pub(crate) cached_prefixes: HashMap<(ReplicaKey, u64), Time, FxBuildHasher>,
     /// When a replica last sent anything.
     pub(crate) last_received: ReplicaMap<Time>,
     pub(crate) quota: Quota,
-    /// What became of the requests of each workspace, since it was last logged.
+    /// Outcomes of the requests of each workspace since they were last logged.
     pub(crate) tally: Tally,
     pub(crate) budgets: HashMap<ServiceId, Budget>,
-    /// Requests under which replicas end.
+    /// Quarantined requests, under which replicas end.
     pub(crate) quarantine: Quarantine,
     /// The other routers.
     pub(crate) fleet: Actives,
     pub(crate) watch: Watch,
 }
 
-/// One gateway.
+/// State that all tasks of one gateway share.
 ///
-/// Lock order: `force`, `tables`, `eras`. None is held across an await.
+/// Lock order: `config`, `tables`, `eras`. None is held across an await.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
@@ -109,31 +108,31 @@
     pub(crate) store: Store,
     pub(crate) incarnation: Incarnation,
     started: Instant,
-    force: Mutex<Option<Arc<CurrentConfig>>>,
+    config: Mutex<Option<Arc<CurrentConfig>>>,
     tables: Mutex<Tables>,
     pub(crate) pool: Pool,
-    /// Wakes who speaks to the peers, where something is to be told before its time.
+    /// Wakes the task that sends messages to peers, for an update before the next interval.
     wake: Sender<()>,
     pub(crate) woken: Receiver<()>,
-    /// What is to be told concerns all, not only the active routers.
+    /// The update is for all routers, not only for the active ones.
     urgent: AtomicBool,
-    /// Number of the last word to peers.
-    words: AtomicU32,
-    /// No new callers are wanted any more.
+    /// Number of the last message to peers.
+    message_number: AtomicU32,
+    /// The instance is shutting down and wants no new callers.
     pub(crate) leaving: AtomicBool,
-    /// Requests are refused, as they might not end before the process must.
+    /// Requests are rejected, as they might not finish before the process ends.
     pub(crate) rejecting: AtomicBool,
-    /// The list of replicas was read at least once.
-    pub(crate) listed: AtomicBool,
-    /// The store did not answer this instance's last call.
+    /// The list of replicas was received at least once.
+    pub(crate) replicas_listed: AtomicBool,
+    /// The last call to the store failed.
     pub(crate) store_lost: AtomicBool,
-    /// The eras of the store that its answers and peers named.
+    /// The eras of the store that its answers and the peers reported.
     eras: Mutex<Eras>,
     /// Requests that are being served.
     pub(crate) active_requests: AtomicUsize,
-    /// Connections of callers.
+    /// Open connections of callers.
     pub(crate) caller_connections: AtomicUsize,
-    /// Bytes of bodies that are held.
+    /// Bytes of request bodies in memory.
     pub(crate) held_body_bytes: AtomicUsize,
 }
 
@@ -147,7 +146,7 @@
             store,
             incarnation,
             started: Instant::now(),
-            force: Mutex::new(None),
+            config: Mutex::new(None),
             tables: Mutex::new(Tables {
                 roster: Roster::default(),
                 board: Board::default(),
@@ -160,17 +159,17 @@
                 tally: Tally::default(),
                 budgets: HashMap::new(),
                 quarantine: Quarantine::default(),
-                fleet: own_fleet(&settings, incarnation),
+                fleet: new_fleet(&settings, incarnation),
                 watch: Watch::default(),
             }),
             pool: Pool::default(),
             wake,
             woken,
             urgent: AtomicBool::new(false),
-            words: AtomicU32::new(0),
+            message_number: AtomicU32::new(0),
             leaving: AtomicBool::new(false),
             rejecting: AtomicBool::new(false),
-            listed: AtomicBool::new(false),
+            replicas_listed: AtomicBool::new(false),
             store_lost: AtomicBool::new(false),
             eras: Mutex::default(),
             active_requests: AtomicUsize::new(0),
@@ -187,64 +186,66 @@
 
     /// Returns the configuration in force, once there is one.
     pub(crate) fn current_config(&self) -> Option<Arc<CurrentConfig>> {
-        lock(&self.force).clone()
+        lock(&self.config).clone()
     }
 
     /// Returns the version of the configuration in force, 0 without one.
     pub(crate) fn version(&self) -> u64 {
         self.current_config()
-            .map_or(0, |force| force.config.version)
+            .map_or(0, |current| current.config.version)
     }
 
-    /// Has the active routers told at once of what is new here.
+    /// Sends updates to the active routers at once.
     pub(crate) fn announce(&self) {
-        // Where a word waits to be told already, it tells of this too.
+        // The channel is full if a wake-up is pending already.
         let _ = self.wake.try_send(());
     }
 
-    /// Has all routers told at once of what is new here.
+    /// Sends updates to all routers at once.
     ///
-    /// Those that stand by hear a router every three seconds where there are 300. A leaving
-    /// router would be named to callers for as long, and a key that is taken away would be taken.
+    /// In a fleet of 300, a standby gets a message of each router only every three seconds. For
+    /// that long it would name a router that shuts down to callers, and accept a revoked key.
     pub(crate) fn announce_to_all(&self) {
         self.urgent.store(true, Ordering::SeqCst);
         self.announce();
     }
 
-    /// Tells whether all routers are to be told now, once for each time that they are to be.
+    /// Returns whether an update for all routers is pending, and resets that.
     pub(crate) fn take_urgent(&self) -> bool {
         self.urgent.swap(false, Ordering::SeqCst)
     }
 
-    /// Returns the number of the next word to peers.
+    /// Returns the number of the next message to peers.
     pub(crate) fn next_message(&self) -> u32 {
-        self.words.fetch_add(1, Ordering::Relaxed) + 1
+        self.message_number.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Locks the tables for one step.
+    /// Locks the tables.
     pub(crate) fn tables(&self) -> MutexGuard<'_, Tables> {
         lock(&self.tables)
     }
 
-    /// Returns how many connections callers may have.
+    /// Returns the maximum number of connections of callers.
     pub(crate) fn max_connections(&self) -> usize {
         let all = self.settings.instance.descriptors as usize;
-        all.saturating_sub(DESCRIPTORS_LEFT).max(all / 2)
+        all.saturating_sub(RESERVED_DESCRIPTORS).max(all / 2)
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
         self.leaving.load(Ordering::Relaxed)
     }
 
-    /// Tells whether this instance can serve.
+    /// Returns whether this instance can serve requests.
     pub(crate) fn is_ready(&self) -> bool {
-        !self.is_leaving() && self.listed.load(Ordering::Relaxed) && self.current_config().is_some()
+        !self.is_leaving()
+            && self.replicas_listed.load(Ordering::Relaxed)
+            && self.current_config().is_some()
     }
 
-    /// Puts a configuration in force, if it can be read and is newer than the one in force.
+    /// Puts a configuration in force if it is valid and newer than the one in force.
     ///
-    /// Returns whether it can be used, newer or not. An older one never comes back in force:
-    /// the store's answers may be old, and peers may be behind.
+    /// Returns whether it is valid. An older one never replaces a newer one, as answers of the
+    /// store and of peers may be outdated.
     pub(crate) fn apply_config(&self, document: Vec<u8>, from: &str) -> bool {
         let config = match (self.dialect.parse_config)(&document) {
             Ok(config) => config,
@@ -253,13 +254,13 @@
                 return false;
             }
         };
-        let mut force = lock(&self.force);
-        let have = force.as_ref().map_or(0, |f| f.config.version);
-        if config.version <= have {
+        let mut current = lock(&self.config);
+        let before = current.as_ref().map_or(0, |c| c.config.version);
+        if config.version <= before {
             return true;
         }
         log::info!(
-            "event=config outcome=in-force version={} before={have} from={from} routes={} \
+            "event=config outcome=in-force version={} before={before} from={from} routes={} \
              services={}",
             config.version,
             config.route_count(),
@@ -267,38 +268,38 @@
         );
         metrics::gauge!("chervilwind_config_version").set(config.version as f64);
         self.tables().quota.set_capacity(config.limits.capacity);
-        *force = Some(Arc::new(CurrentConfig { config, document }));
+        *current = Some(Arc::new(CurrentConfig { config, document }));
         true
     }
 
-    /// Returns what the store and the peers said of the store's era.
+    /// Returns the eras of the store that its answers and the peers reported.
     pub(crate) fn eras(&self) -> Eras {
         *lock(&self.eras)
     }
 
-    /// Notes the era of an answer of the store.
-    fn note_era(&self) {
+    /// Records the newest era that the store reported, and logs a change.
+    fn record_era(&self) {
         let era = (self.store.newest_era)();
         let mut eras = lock(&self.eras);
         let before = *eras;
         if eras.observe_answer(era) {
-            log_return(era, before, "store");
+            log_restored_store(era, before, "store");
         }
     }
 
-    /// Notes the era of the store that a peer names.
-    pub(crate) fn note_peer_era(&self, era: Era, from: &RouterId) {
+    /// Records the era of the store that a peer reported, and logs a change.
+    pub(crate) fn record_peer_era(&self, era: Era, from: &RouterId) {
         let mut eras = lock(&self.eras);
         let before = *eras;
         if eras.observe_peer(era) {
-            log_return(era, before, from.as_str());
+            log_restored_store(era, before, from.as_str());
         }
     }
 
-    /// Notes whether the store answers, and logs the change.
-    pub(crate) fn note_store(&self, call: &str, error: Option<&crate::StoreError>) {
+    /// Records whether a call to the store succeeded, and logs a change.
+    pub(crate) fn record_store_call(&self, call: &str, error: Option<&crate::StoreError>) {
         metrics::counter!("chervilwind_store_calls", "call" => call.to_owned()).increment(1);
-        self.note_era();
+        self.record_era();
         let was = self.store_lost.swap(error.is_some(), Ordering::Relaxed);
         match error {
             Some(e) if !was => log::warn!("event=store outcome=lost call={call} cause={e:?}"),
@@ -308,13 +309,13 @@
     }
 }
 
-fn log_return(era: Era, before: Eras, from: &str) {
+fn log_restored_store(era: Era, before: Eras, from: &str) {
     let before = before.confirmed();
     log::warn!("event=store outcome=went-back era={era} before={before} from={from}");
 }
 
-/// Makes the table of the other routers, of whom none is known yet.
-fn own_fleet(settings: &Settings, incarnation: Incarnation) -> Actives {
+/// Makes the table of routers, which contains only this one.
+fn new_fleet(settings: &Settings, incarnation: Incarnation) -> Actives {
     let intro = RouterInfo {
         incarnation,
         peers: settings.listen.peers,
@@ -332,8 +333,8 @@
     )
 }
 
-/// Locks a table. A thread that panicked with the lock held has left a table that was
-/// changed by whole steps only, so the others go on with it.
+/// Locks a mutex, even if a thread panicked while it held it: the state is changed in complete
+/// steps only, so it remains consistent.
 fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(PoisonError::into_inner)
 }
