--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -20,8 +20,8 @@
     errors::AskError,
     frame::Incoming,
     links::{
-        Links,
-        Pace, //
+        LinkTiming,
+        Links, //
     },
     server::{
         serve,
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -10,7 +10,7 @@
             encode,
             Frame, //
         },
-        links::Pace,
+        links::LinkTiming,
         source::{
             Piece,
             Source, //
@@ -151,7 +151,7 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) peer: RouterId,
     pub(crate) addr: SocketAddr,
-    pub(crate) pace: Pace,
+    pub(crate) pace: LinkTiming,
     /// Held back before each frame; stands for the way between two zones in measurements.
     pub(crate) delay: Duration,
 }
@@ -187,7 +187,7 @@
 /// Waits for something to say: a message, or frames of the peer that are not acknowledged.
 ///
 /// A peer that hears no acknowledgement takes its stream for silent and opens another, once
-/// in every [`Pace::silence`]. So a router with no message of its own answers all the same.
+/// in every [`LinkTiming::silence`]. So a router with no message of its own answers all the same.
 async fn begin<T>(ends: &Ends, items: &Receiver<T>, acks: &Acks) -> Option<Vec<T>> {
     loop {
         match timeout(ends.pace.silence / ACK_PART, items.recv()).await {
--- a/crates/peers/src/links.rs
+++ b/crates/peers/src/links.rs
@@ -42,7 +42,7 @@
 
 /// How patient the streams are.
 #[derive(Debug, Clone)]
-pub struct Pace {
+pub struct LinkTiming {
     /// How long a connection may take to come about.
     pub connect: Duration,
     /// Pause before the next try after a failed one.
@@ -55,9 +55,9 @@
     pub gather: Duration,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace {
+impl Default for LinkTiming {
+    fn default() -> LinkTiming {
+        LinkTiming {
             connect: Duration::from_millis(500),
             redial: Duration::from_millis(200),
             silence: Duration::from_millis(1500),
@@ -78,7 +78,7 @@
 pub struct Links<T> {
     me: RouterId,
     incarnation: Incarnation,
-    pace: Pace,
+    pace: LinkTiming,
     traffic: Arc<Traffic>,
     // Lock order: `peers` before `acks`; neither is held across a wait.
     peers: Mutex<HashMap<RouterId, Peer<T>>>,
@@ -90,7 +90,7 @@
     T: Serialize + DeserializeOwned + Send + Sync + 'static,
 {
     /// Makes the links of this start of a router.
-    pub fn new(me: RouterId, incarnation: Incarnation, pace: Pace) -> Arc<Links<T>> {
+    pub fn new(me: RouterId, incarnation: Incarnation, pace: LinkTiming) -> Arc<Links<T>> {
         Arc::new(Links {
             me,
             incarnation,
@@ -107,7 +107,7 @@
     }
 
     /// Sets where a peer is reached; `delay` is held back before each frame.
-    pub fn route(&self, peer: &RouterId, addr: SocketAddr, delay: Duration) {
+    pub fn set_route(&self, peer: &RouterId, addr: SocketAddr, delay: Duration) {
         let mut peers = self.peers.lock().expect("peers lock");
         if peers.get(peer).is_some_and(|p| p.addr == addr) {
             return;
--- a/crates/peers/src/server.rs
+++ b/crates/peers/src/server.rs
@@ -52,7 +52,7 @@
 /// What this router does with what its peers send.
 pub struct Handler<T, Q, A> {
     /// Takes messages.
-    pub take: Box<dyn Fn(Incoming<T>) + Send + Sync>,
+    pub receive: Box<dyn Fn(Incoming<T>) + Send + Sync>,
     /// Answers a question.
     pub answer: Box<dyn Fn(RouterId, Q) -> Boxed<A> + Send + Sync>,
 }
@@ -196,7 +196,7 @@
         }
         acks.heard(frame.seq, frame.ack);
         if !frame.items.is_empty() {
-            (server.handler.take)(Incoming {
+            (server.handler.receive)(Incoming {
                 from: from.clone(),
                 incarnation: origin.incarnation,
                 items: frame.items,
--- a/crates/peers/tests/links.rs
+++ b/crates/peers/tests/links.rs
@@ -21,8 +21,8 @@
         serve,
         Handler,
         Incoming,
-        Links,
-        Pace, //
+        LinkTiming,
+        Links, //
     },
     policy::{
         Incarnation,
@@ -46,12 +46,12 @@
     inbox: Receiver<Incoming<u32>>,
 }
 
-fn quick() -> Pace {
-    Pace {
+fn quick() -> LinkTiming {
+    LinkTiming {
         silence: Duration::from_millis(300),
         check: Duration::from_millis(50),
         redial: Duration::from_millis(50),
-        ..Pace::default()
+        ..LinkTiming::default()
     }
 }
 
@@ -59,14 +59,14 @@
     paced(name, incarnation, quick()).await
 }
 
-async fn paced(name: &str, incarnation: u64, pace: Pace) -> Router {
+async fn paced(name: &str, incarnation: u64, pace: LinkTiming) -> Router {
     let id: RouterId = name.parse().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let addr = listener.local_addr().unwrap();
     let links = Links::new(id.clone(), Incarnation(incarnation), pace);
     let (tx, inbox) = unbounded();
     let handler = Handler {
-        take: Box::new(move |m| {
+        receive: Box::new(move |m| {
             let _ = tx.try_send(m);
         }),
         answer: Box::new(|_, q: u32| Box::pin(async move { q * 2 })),
@@ -105,7 +105,7 @@
 async fn send_in_order() {
     let a = router("a", 1).await;
     let b = router("b", 1).await;
-    a.links.route(&b.id, b.addr, Duration::ZERO);
+    a.links.set_route(&b.id, b.addr, Duration::ZERO);
     reach(&a, &b, 0).await;
     while b.inbox.try_recv().is_ok() {}
     a.links.send(&b.id, 7);
@@ -140,8 +140,8 @@
     let a = router("a", 1).await;
     let b = router("b", 1).await;
     let way = Relay::start(b.addr).await.unwrap();
-    a.links.route(&b.id, way.addr, Duration::ZERO);
-    b.links.route(&a.id, a.addr, Duration::ZERO);
+    a.links.set_route(&b.id, way.addr, Duration::ZERO);
+    b.links.set_route(&a.id, a.addr, Duration::ZERO);
     reach(&a, &b, 0).await;
     way.silence();
     let got = reach(&a, &b, 1000).await;
@@ -155,8 +155,8 @@
     let a = router("a", 1).await;
     let b = router("b", 1).await;
     let way = Relay::start(b.addr).await.unwrap();
-    a.links.route(&b.id, way.addr, Duration::ZERO);
-    b.links.route(&a.id, a.addr, Duration::ZERO);
+    a.links.set_route(&b.id, way.addr, Duration::ZERO);
+    b.links.set_route(&a.id, a.addr, Duration::ZERO);
     reach(&a, &b, 0).await;
     way.block("a");
     for n in 100..110 {
@@ -174,13 +174,13 @@
     // though it numbers them from 1 again.
     let a = router("a", 1).await;
     let b = router("b", 1).await;
-    a.links.route(&b.id, b.addr, Duration::ZERO);
+    a.links.set_route(&b.id, b.addr, Duration::ZERO);
     for n in 0..20 {
         a.links.send(&b.id, n);
         next(&b).await;
     }
     let again = router("a", 2).await;
-    again.links.route(&b.id, b.addr, Duration::ZERO);
+    again.links.set_route(&b.id, b.addr, Duration::ZERO);
     let got = reach(&again, &b, 500).await;
     assert!(got >= 500);
 }
@@ -193,8 +193,8 @@
     // was written to it.
     let a = router("a", 1).await;
     let b = router("b", 1).await;
-    a.links.route(&b.id, b.addr, Duration::ZERO);
-    b.links.route(&a.id, a.addr, Duration::ZERO);
+    a.links.set_route(&b.id, b.addr, Duration::ZERO);
+    b.links.set_route(&a.id, a.addr, Duration::ZERO);
     reach(&a, &b, 0).await;
     while b.inbox.try_recv().is_ok() {}
     for n in 100..104 {
@@ -208,15 +208,15 @@
 async fn send_one_way_only() {
     // Two routers of which one has nothing to say keep opening connections. Nothing told
     // the one that speaks that it was heard.
-    let slow = || Pace {
+    let slow = || LinkTiming {
         silence: Duration::from_secs(1),
         ..quick()
     };
     let a = paced("a", 1, slow()).await;
     let b = paced("b", 1, slow()).await;
     let way = Relay::start(b.addr).await.unwrap();
-    a.links.route(&b.id, way.addr, Duration::ZERO);
-    b.links.route(&a.id, a.addr, Duration::ZERO);
+    a.links.set_route(&b.id, way.addr, Duration::ZERO);
+    b.links.set_route(&a.id, a.addr, Duration::ZERO);
     reach(&a, &b, 0).await;
     for n in 1..60 {
         task::sleep(slow().silence / 10).await;
@@ -233,8 +233,8 @@
     // acknowledged in turn, for ever.
     let a = router("a", 1).await;
     let b = router("b", 1).await;
-    a.links.route(&b.id, b.addr, Duration::ZERO);
-    b.links.route(&a.id, a.addr, Duration::ZERO);
+    a.links.set_route(&b.id, b.addr, Duration::ZERO);
+    b.links.set_route(&a.id, a.addr, Duration::ZERO);
     reach(&a, &b, 0).await;
     reach(&b, &a, 0).await;
     task::sleep(quick().silence * 2).await;
@@ -252,13 +252,13 @@
     let a = router("a", 1).await;
     let b = router("b", 1).await;
     let way = Relay::start(b.addr).await.unwrap();
-    b.links.route(&a.id, a.addr, Duration::ZERO);
-    a.links.route(&b.id, way.addr, Duration::ZERO);
+    b.links.set_route(&a.id, a.addr, Duration::ZERO);
+    a.links.set_route(&b.id, way.addr, Duration::ZERO);
     reach(&a, &b, 0).await;
     way.silence();
     reach(&a, &b, 1000).await;
     a.links.retain(|_| false);
-    a.links.route(&b.id, b.addr, Duration::ZERO);
+    a.links.set_route(&b.id, b.addr, Duration::ZERO);
     while b.inbox.try_recv().is_ok() {}
     a.links.send(&b.id, 5000);
     assert_eq!(next(&b).await, 5000);
--- a/src/router/beat.rs
+++ b/src/router/beat.rs
@@ -86,7 +86,7 @@
                 } => {
                     let zone = lock(&self.members).get(&to).map(|m| m.zone.clone());
                     let delay = zone.map_or(Duration::ZERO, |z| self.way(&z));
-                    self.links.route(&to, addr, delay);
+                    self.links.set_route(&to, addr, delay);
                     self.links.send(&to, Item::Beat(*heartbeat));
                 }
                 Event::Changed => self.members_changed(),
@@ -128,7 +128,7 @@
     /// a pool would have its reports thrown away, and run with its static fraction.
     fn keep_links(&self, up: &[Member]) {
         for m in up {
-            self.links.route(&m.id, m.addr, self.way(&m.zone));
+            self.links.set_route(&m.id, m.addr, self.way(&m.zone));
         }
         self.links.retain(|id| up.iter().any(|m| m.id == *id));
     }
--- a/src/router/inbox.rs
+++ b/src/router/inbox.rs
@@ -26,7 +26,7 @@
     let taker = router.clone();
     let answerer = router.clone();
     Handler {
-        take: Box::new(move |m| take(&taker, m)),
+        receive: Box::new(move |m| take(&taker, m)),
         answer: Box::new(move |from, q| answer(answerer.clone(), from, q)),
     }
 }
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -44,8 +44,8 @@
         Loader, //
     },
     peers::{
-        Links,
-        Pace, //
+        LinkTiming,
+        Links, //
     },
     policy::{
         head::Head,
@@ -204,7 +204,7 @@
     };
     let seed = fastrand::u64(..);
     Router {
-        links: Links::new(me.router.clone(), me.incarnation, Pace::default()),
+        links: Links::new(me.router.clone(), me.incarnation, LinkTiming::default()),
         endpoints: endpoints::Client::new(endpoints::Options::default()),
         force: Mutex::new(InForce {
             head: Head::new(clock.now()),
