--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -100,7 +100,7 @@
 
 /// State that all tasks of one gateway share.
 ///
-/// Lock order: `config`, `tables`, `eras`. None is held across an await.
+/// Lock order: `current_config`, `tables`, `eras`. None is held across an await.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) settings: Settings,
@@ -108,7 +108,7 @@
     pub(crate) store: Store,
     pub(crate) incarnation: Incarnation,
     started: Instant,
-    config: Mutex<Option<Arc<CurrentConfig>>>,
+    current_config: Mutex<Option<Arc<CurrentConfig>>>,
     tables: Mutex<Tables>,
     pub(crate) pool: Pool,
     /// Wakes the task that sends messages to peers, for an update before the next interval.
@@ -146,7 +146,7 @@
             store,
             incarnation,
             started: Instant::now(),
-            config: Mutex::new(None),
+            current_config: Mutex::new(None),
             tables: Mutex::new(Tables {
                 roster: Roster::default(),
                 board: Board::default(),
@@ -186,7 +186,7 @@
 
     /// Returns the configuration in force, once there is one.
     pub(crate) fn current_config(&self) -> Option<Arc<CurrentConfig>> {
-        lock(&self.config).clone()
+        lock(&self.current_config).clone()
     }
 
     /// Returns the version of the configuration in force, 0 without one.
@@ -254,7 +254,7 @@
                 return false;
             }
         };
-        let mut current = lock(&self.config);
+        let mut current = lock(&self.current_config);
         let before = current.as_ref().map_or(0, |c| c.config.version);
         if config.version <= before {
             return true;
