--- a/crates/gateway/tests/gateway/answers.rs
+++ b/crates/gateway/tests/gateway/answers.rs
@@ -1,15 +1,15 @@
-//! The whole answer to its own request, whatever the replica sends.
+//! Callers get the complete answer to their own request, whatever the replica sends.
 
 use {
     crate::{
-        caller::get,
+        caller::get_request,
+        harness::TestGateway,
         replica::{
             answer,
-            good,
+            ok_answer,
             Replica,
             Step, //
         },
-        stage::Stage,
     },
     std::{
         io::{
@@ -24,15 +24,15 @@
 
 #[test]
 fn answer_extra_is_skipped() {
-    // A replica answers a request twice. The second answer stands where that to the next
-    // request is expected, and would reach the wrong caller.
+    // A replica answers a request twice. On a reused connection the second answer comes before the
+    // answer to the next request, and could reach the wrong caller.
     let replica = Replica::start(|_, seen| {
-        let mut bytes = good(seen, "mine");
-        bytes.extend(good(seen, "again"));
+        let mut bytes = ok_answer(seen, "mine");
+        bytes.extend(ok_answer(seen, "again"));
         vec![Step::Send(bytes)]
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let mut caller = stage.caller();
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let mut caller = gw.caller();
     for n in 0..10 {
         let got = caller.get("/again/a", &n.to_string(), "");
         assert_eq!((got.status, got.body.as_str()), (200, "mine"));
@@ -42,31 +42,31 @@
 
 #[test]
 fn answer_late_is_skipped() {
-    // The extra answer comes only once the connection carries the next request.
+    // The extra answer arrives only once the connection carries the next request.
     let replica = Replica::start(|n, seen| {
         let mut bytes = Vec::new();
         if n > 0 {
             bytes.extend(answer(&(n - 1).to_string(), "200 OK", "late"));
         }
-        bytes.extend(good(seen, "mine"));
+        bytes.extend(ok_answer(seen, "mine"));
         vec![Step::Send(bytes)]
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
+    let gw = TestGateway::start(&[("i-1", &replica)]);
     for n in 0..5 {
-        let got = stage.get("/again/a", &n.to_string());
+        let got = gw.get("/again/a", &n.to_string());
         assert_eq!((got.status, got.body.as_str()), (200, "mine"));
     }
 }
 
 #[test]
-fn answer_of_another() {
+fn answer_to_another_request_is_rejected() {
     let replica = Replica::start(|_, _| vec![Step::Send(answer("9", "200 OK", "no")), Step::Close]);
-    let stage = Stage::start(&[("i-1", &replica)]);
-    assert_eq!(stage.get("/once/a", "1").status, 502);
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    assert_eq!(gw.get("/once/a", "1").status, 502);
 }
 
 #[test]
-fn answer_bad() {
+fn invalid_answer_gives_502() {
     let cases: [&[u8]; 6] = [
         b"HTTP/1.1 200 OK\r\nX-Id: 1\r\nX-Signature: s\r\nContent-Length: 9\r\n\r\nshort",
         b"HTTP/1.1 200 OK\r\nX-Id: 1\r\nContent-Length: 2\r\n\r\nok",
@@ -77,8 +77,8 @@
     ];
     for case in cases {
         let replica = Replica::start(move |_, _| vec![Step::Send(case.to_vec()), Step::Close]);
-        let stage = Stage::start(&[("i-1", &replica)]);
-        let got = stage.get("/once/a", "1");
+        let gw = TestGateway::start(&[("i-1", &replica)]);
+        let got = gw.get("/once/a", "1");
         assert_eq!(got.status, 502, "{}", String::from_utf8_lossy(case));
         assert_eq!(replica.seen().len(), 1);
     }
@@ -90,28 +90,28 @@
         let bytes = b"HTTP/1.1 200 OK\r\nX-Id: 1\r\nX-Signature: s\r\n\r\nto the end";
         vec![Step::Send(bytes.to_vec()), Step::Close]
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let got = stage.get("/once/a", "1");
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let got = gw.get("/once/a", "1");
     assert_eq!(
-        (got.status, got.body.as_str(), got.whole),
+        (got.status, got.body.as_str(), got.complete),
         (200, "to the end", true)
     );
 }
 
 #[test]
 fn answer_before_the_body_was_read() {
-    // A replica rejects a long request before it has read it, and reads on later. The next
-    // request on that connection would be taken for the rest of the body.
+    // A replica rejects a long request before it has read it, and reads the rest later. On a reused
+    // connection it would take the next request for the rest of the body.
     let replica = Replica::start_early(|n, seen| {
-        let mut steps = vec![Step::Send(good(seen, "early"))];
+        let mut steps = vec![Step::Send(ok_answer(seen, "early"))];
         if n == 0 {
             steps.push(Step::Pause(Duration::from_millis(300)));
         }
         steps
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
+    let gw = TestGateway::start(&[("i-1", &replica)]);
     let body = "y".repeat(12_000_000);
-    let mut caller = stage.caller();
+    let mut caller = gw.caller();
     let head = format!(
         "POST /again/a HTTP/1.1\r\nHost: a.example\r\nX-Id: 1\r\nX-Key: k1\r\n\
          Content-Length: {}\r\n\r\n{body}",
@@ -126,44 +126,44 @@
 }
 
 #[test]
-fn answer_too_long_to_be_held() {
-    // An answer of 3 MB is passed on while it comes. Held until it is whole it would take
-    // the memory that other requests need, and dropped for its length it was lost.
+fn answer_too_long_to_buffer_is_forwarded() {
+    // An answer of 3 MB is too long to be buffered, as it would take the memory that other requests
+    // need. It is forwarded as it arrives.
     let long = "z".repeat(3_000_000);
     let sent = long.clone();
     let replica = Replica::start(move |n, seen| {
-        let mut bytes = good(seen, &sent);
+        let mut bytes = ok_answer(seen, &sent);
         if n == 1 {
             bytes.truncate(2_000_000);
         }
         vec![Step::Send(bytes), Step::Close]
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let got = stage.get("/once/a", "1");
-    assert_eq!((got.status, got.whole), (200, true));
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let got = gw.get("/once/a", "1");
+    assert_eq!((got.status, got.complete), (200, true));
     assert!(got.body == long);
     assert_eq!(got.header("x-signature"), Some("s-1"));
-    // One that breaks off must not look whole.
-    let cut = stage.get("/once/a", "2");
-    assert_eq!((cut.status, cut.whole), (200, false));
+    // An answer that breaks off must not look complete to the caller.
+    let cut = gw.get("/once/a", "2");
+    assert_eq!((cut.status, cut.complete), (200, false));
 }
 
-/// Guards against an end of an answer that is lost as its caller had sent more than was read.
+/// Guards against losing the end of an answer when the caller has sent bytes that were not read.
 #[test]
-fn answer_whole_beside_unread_bytes() {
+fn answer_complete_despite_unread_bytes() {
     let long = "z".repeat(900_000);
     let sent = long.clone();
-    let replica = Replica::start(move |_, seen| vec![Step::Send(good(seen, &sent))]);
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let mut caller = TcpStream::connect(stage.settings.listen.callers).unwrap();
-    let request = get("/again/a", "1", "Connection: close\r\n") + &"x".repeat(200_000);
+    let replica = Replica::start(move |_, seen| vec![Step::Send(ok_answer(seen, &sent))]);
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let mut caller = TcpStream::connect(gw.settings.listen.callers).unwrap();
+    let request = get_request("/again/a", "1", "Connection: close\r\n") + &"x".repeat(200_000);
     caller.write_all(request.as_bytes()).unwrap();
     let mut got = Vec::new();
-    let mut part = [0; 8192];
+    let mut chunk = [0; 8192];
     loop {
         thread::sleep(Duration::from_millis(1));
-        match caller.read(&mut part) {
-            Ok(n) if n > 0 => got.extend_from_slice(&part[..n]),
+        match caller.read(&mut chunk) {
+            Ok(n) if n > 0 => got.extend_from_slice(&chunk[..n]),
             _ => break,
         }
     }
--- a/crates/gateway/tests/gateway/caller.rs
+++ b/crates/gateway/tests/gateway/caller.rs
@@ -1,4 +1,4 @@
-//! A caller that speaks plain HTTP/1.1 on one connection.
+//! A caller that sends plain HTTP/1.1 on one connection.
 
 use std::{
     io::{
@@ -12,17 +12,17 @@
     time::Duration,
 };
 
-/// A bound that only a hang passes.
-const HANG: Duration = Duration::from_secs(20);
+/// Time limit that only a hang exceeds.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// An answer as it came.
+/// An answer as it was received.
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) struct Got {
+pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// The body ended as its framing says.
-    pub(crate) whole: bool,
+    /// Whether the body is complete according to its framing.
+    pub(crate) complete: bool,
 }
 
 /// A caller's connection.
@@ -31,7 +31,7 @@
     buf: Vec<u8>,
 }
 
-impl Got {
+impl Answer {
     pub(crate) fn header(&self, name: &str) -> Option<&str> {
         self.head.lines().skip(1).find_map(|line| {
             let (found, value) = line.split_once(':')?;
@@ -43,7 +43,7 @@
 impl Caller {
     pub(crate) fn open(addr: SocketAddr) -> Caller {
         let stream = TcpStream::connect(addr).unwrap();
-        stream.set_read_timeout(Some(HANG)).unwrap();
+        stream.set_read_timeout(Some(HANG_TIMEOUT)).unwrap();
         Caller {
             stream,
             buf: Vec::new(),
@@ -54,20 +54,20 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Asks for a path, with more header lines.
-    pub(crate) fn get(&mut self, path: &str, id: &str, more: &str) -> Got {
-        self.send(get(path, id, more).as_bytes());
+    /// Sends a GET request with additional header lines, and reads the answer.
+    pub(crate) fn get(&mut self, path: &str, id: &str, headers: &str) -> Answer {
+        self.send(get_request(path, id, headers).as_bytes());
         self.answer()
     }
 
-    /// Reads until a text has come.
-    pub(crate) fn until(&mut self, text: &str) {
+    /// Reads until a text was received.
+    pub(crate) fn read_until(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.buf).contains(text) {
-            assert!(self.more(), "closed before `{text}`");
+            assert!(self.read_more(), "closed before `{text}`");
         }
     }
 
-    fn more(&mut self) -> bool {
+    fn read_more(&mut self) -> bool {
         let mut part = [0; 4096];
         match self.stream.read(&mut part) {
             Ok(n) if n > 0 => {
@@ -80,48 +80,48 @@
         }
     }
 
-    /// Reads one answer; one that is closed before its head has status 0.
-    pub(crate) fn answer(&mut self) -> Got {
+    /// Reads one answer. The status is 0 if the connection is closed before the end of the head.
+    pub(crate) fn answer(&mut self) -> Answer {
         let end = loop {
             if let Some(end) = self.buf.windows(4).position(|w| w == b"\r\n\r\n") {
                 break end;
             }
-            if !self.more() {
-                return Got {
+            if !self.read_more() {
+                return Answer {
                     status: 0,
                     head: String::new(),
                     body: String::new(),
-                    whole: false,
+                    complete: false,
                 };
             }
         };
         let head = String::from_utf8_lossy(&self.buf[..end]).into_owned();
         self.buf.drain(..end + 4);
-        let mut got = Got {
+        let mut got = Answer {
             status: head.split(' ').nth(1).unwrap().parse().unwrap(),
             head,
             body: String::new(),
-            whole: false,
+            complete: false,
         };
         match got.header("content-length").map(|n| n.parse().unwrap()) {
-            Some(length) => self.sized(&mut got, length),
-            None => self.chunked(&mut got),
+            Some(length) => self.read_sized(&mut got, length),
+            None => self.read_chunked(&mut got),
         }
         got
     }
 
-    fn sized(&mut self, got: &mut Got, length: usize) {
-        while self.buf.len() < length && self.more() {}
+    fn read_sized(&mut self, got: &mut Answer, length: usize) {
+        while self.buf.len() < length && self.read_more() {}
         let n = length.min(self.buf.len());
         let body: Vec<u8> = self.buf.drain(..n).collect();
         got.body = String::from_utf8_lossy(&body).into_owned();
-        got.whole = n == length;
+        got.complete = n == length;
     }
 
-    fn chunked(&mut self, got: &mut Got) {
+    fn read_chunked(&mut self, got: &mut Answer) {
         loop {
             let Some(end) = self.buf.windows(2).position(|w| w == b"\r\n") else {
-                if self.more() {
+                if self.read_more() {
                     continue;
                 }
                 return;
@@ -129,7 +129,7 @@
             let size = String::from_utf8_lossy(&self.buf[..end]).into_owned();
             let size = usize::from_str_radix(&size, 16).unwrap();
             while self.buf.len() < end + size + 4 {
-                if !self.more() {
+                if !self.read_more() {
                     return;
                 }
             }
@@ -137,14 +137,14 @@
             got.body.push_str(&String::from_utf8_lossy(text));
             self.buf.drain(..end + size + 4);
             if size == 0 {
-                got.whole = true;
+                got.complete = true;
                 return;
             }
         }
     }
 }
 
-/// A request without a body.
-pub(crate) fn get(path: &str, id: &str, more: &str) -> String {
-    format!("GET {path} HTTP/1.1\r\nHost: a.example\r\nX-Id: {id}\r\nX-Key: k1\r\n{more}\r\n")
+/// Encodes a GET request with additional header lines.
+pub(crate) fn get_request(path: &str, id: &str, headers: &str) -> String {
+    format!("GET {path} HTTP/1.1\r\nHost: a.example\r\nX-Id: {id}\r\nX-Key: k1\r\n{headers}\r\n")
 }
--- a/crates/gateway/tests/gateway/fleet.rs
+++ b/crates/gateway/tests/gateway/fleet.rs
@@ -1,17 +1,17 @@
-//! Several gateways, and a store that turns some of them away.
+//! Several gateways, and a store that is unavailable to some of them.
 
 use {
     crate::{
+        harness::{
+            wait_until,
+            StoreFault,
+            TestGateway, //
+        },
         replica::{
-            good,
+            ok_answer,
             Replica,
             Step, //
         },
-        stage::{
-            wait,
-            Down,
-            Stage, //
-        },
     },
     gateway::State,
     std::{
@@ -23,19 +23,19 @@
     },
 };
 
-pub(crate) fn pair(replica: &Replica) -> (Stage, Stage) {
-    let first = Stage::start(&[("i-1", replica)]);
+pub(crate) fn start_pair(replica: &Replica) -> (TestGateway, TestGateway) {
+    let first = TestGateway::start(&[("i-1", replica)]);
     let seed = first.settings.listen.peers;
-    let world = {
-        let world = first.world.lock().unwrap();
-        crate::stage::World {
-            config: world.config.clone(),
-            replicas: world.replicas.clone(),
-            ..crate::stage::World::default()
+    let store = {
+        let store = first.store.lock().unwrap();
+        crate::harness::FakeStore {
+            config: store.config.clone(),
+            replicas: store.replicas.clone(),
+            ..crate::harness::FakeStore::default()
         }
     };
-    // Instances hear each other at the same port of different addresses.
-    let second = Stage::within(Arc::new(Mutex::new(world)), "g2", |settings| {
+    // Instances receive messages at the same port of different addresses.
+    let second = TestGateway::start_with(Arc::new(Mutex::new(store)), "g2", |settings| {
         settings.listen.peers.set_ip("127.0.0.2".parse().unwrap());
         settings.listen.peers.set_port(seed.port());
         settings.fleet.seeds = vec![seed];
@@ -44,55 +44,55 @@
     (first, second)
 }
 
-/// Returns the addresses that an instance names to callers.
-pub(crate) fn named(stage: &Stage) -> Vec<String> {
-    let mut caller = crate::caller::Caller::open(stage.settings.listen.addresses);
+/// Returns the addresses that an instance lists for callers.
+pub(crate) fn advertised_addresses(gw: &TestGateway) -> Vec<String> {
+    let mut caller = crate::caller::Caller::open(gw.settings.listen.addresses);
     let body = caller.get("/addresses", "-", "").body;
     body.split(' ').map(str::to_owned).collect()
 }
 
-/// Starts a replica that answers each request.
+/// Starts a replica that answers every request.
 pub(crate) fn echo() -> Replica {
-    Replica::start(|_, seen| vec![Step::Send(good(seen, "ok"))])
+    Replica::start(|_, seen| vec![Step::Send(ok_answer(seen, "ok"))])
 }
 
 #[test]
 fn fleet_config_from_a_peer() {
-    // The store turns one instance away while a key is taken away. The instance would serve
-    // that key's callers for as long as it is turned away.
-    for how in Down::ALL {
+    // A key is revoked while the store is unavailable to one instance. Without its peers, the
+    // instance would accept the key until the store is back.
+    for how in StoreFault::ALL {
         let replica = echo();
-        let (first, second) = pair(&replica);
-        second.world.lock().unwrap().down = Some(how);
+        let (first, second) = start_pair(&replica);
+        second.store.lock().unwrap().fault = Some(how);
         assert_eq!(second.get("/again/a", "1").status, 200);
-        first.put(br#"{"version":9,"keys":{"k2":"w2"},"timeout":3000}"#.to_vec());
-        wait(|| second.get("/again/a", "2").status == 401);
+        first.put_config(br#"{"version":9,"keys":{"k2":"w2"},"timeout":3000}"#.to_vec());
+        wait_until(|| second.get("/again/a", "2").status == 401);
     }
 }
 
 #[test]
 fn fleet_leaving_replica_from_a_peer() {
-    // The one that leaves is the quicker one, so it would get the requests.
-    for how in Down::ALL {
+    // The leaving replica is the faster one, so it would be chosen for the requests.
+    for how in StoreFault::ALL {
         let a = echo();
         let b = Replica::start(|_, seen| {
             vec![
                 Step::Pause(Duration::from_millis(40)),
-                Step::Send(good(seen, "ok")),
+                Step::Send(ok_answer(seen, "ok")),
             ]
         });
-        let (first, second) = pair(&a);
-        for stage in [&first, &second] {
-            let mut world = stage.world.lock().unwrap();
-            world.replicas.push(crate::stage::entry("i-2", &b));
+        let (first, second) = start_pair(&a);
+        for gw in [&first, &second] {
+            let mut store = gw.store.lock().unwrap();
+            store.replicas.push(crate::harness::entry("i-2", &b));
         }
-        wait(|| {
+        wait_until(|| {
             second.get("/again/a", "1");
             !b.seen().is_empty()
         });
-        second.world.lock().unwrap().down = Some(how);
-        first.world.lock().unwrap().replicas[0].state = State::Draining;
-        wait(|| {
+        second.store.lock().unwrap().fault = Some(how);
+        first.store.lock().unwrap().replicas[0].state = State::Draining;
+        wait_until(|| {
             let before = a.seen().len();
             (0..6).all(|n| second.get("/again/a", &n.to_string()).status == 200)
                 && a.seen().len() == before
@@ -102,14 +102,15 @@
 
 #[test]
 fn fleet_new_replica_from_a_peer() {
-    // The store turns one instance away while replicas are replaced one after the other. It
-    // learnt from its peers which had left, but of no new one, and in the end knew none.
-    for how in Down::ALL {
+    // Replicas are replaced one after the other while the store is unavailable to one instance. If
+    // its peers reported only the leaving replicas but not the new ones, it would end up without
+    // any.
+    for how in StoreFault::ALL {
         let (a, b) = (echo(), echo());
-        let (first, second) = pair(&a);
-        second.world.lock().unwrap().down = Some(how);
-        first.world.lock().unwrap().replicas[0] = crate::stage::entry("i-2", &b);
-        wait(|| {
+        let (first, second) = start_pair(&a);
+        second.store.lock().unwrap().fault = Some(how);
+        first.store.lock().unwrap().replicas[0] = crate::harness::entry("i-2", &b);
+        wait_until(|| {
             second.get("/again/a", "1");
             !b.seen().is_empty()
         });
@@ -117,9 +118,9 @@
 }
 
 #[test]
-fn fleet_addresses_name_both() {
+fn fleet_addresses_list_both() {
     let replica = echo();
-    let (first, second) = pair(&replica);
-    wait(|| named(&first).len() == 2);
-    assert!(named(&first).contains(&second.settings.listen.callers.to_string()));
+    let (first, second) = start_pair(&replica);
+    wait_until(|| advertised_addresses(&first).len() == 2);
+    assert!(advertised_addresses(&first).contains(&second.settings.listen.callers.to_string()));
 }
--- /dev/null
+++ b/crates/gateway/tests/gateway/harness.rs
@@ -0,0 +1,548 @@
+//! Gateways on loopback, with an in-memory store that can fail.
+
+use {
+    crate::{
+        caller::{
+            Answer,
+            Caller, //
+        },
+        replica::Replica,
+    },
+    async_std::task,
+    gateway::{
+        AddressQuery,
+        Config,
+        Dialect,
+        Gateway,
+        Headers,
+        Lease,
+        Limits,
+        Pending,
+        Registered,
+        ReplicaList,
+        Revision,
+        Route,
+        RouteKind,
+        Service,
+        Settings,
+        State,
+        Store,
+        StoreError,
+        Versioned,
+        Watched, //
+    },
+    policy::{
+        placement::Prompt,
+        Era, //
+    },
+    serde_json::Value,
+    std::{
+        collections::{
+            BTreeMap,
+            HashMap, //
+        },
+        net::{
+            SocketAddr,
+            TcpListener,
+            UdpSocket, //
+        },
+        process,
+        sync::{
+            atomic::{
+                AtomicU16,
+                Ordering, //
+            },
+            Arc,
+            Mutex, //
+        },
+        thread,
+        time::{
+            Duration,
+            Instant, //
+        },
+    },
+};
+
+/// Time limit that only a hang exceeds.
+const HANG_TIMEOUT: Duration = Duration::from_secs(20);
+
+/// Time after which a call to a silent store fails.
+const CALL_TIMEOUT: Duration = Duration::from_millis(300);
+
+/// A store in memory.
+#[derive(Debug, Default)]
+pub(crate) struct FakeStore {
+    pub(crate) config: Vec<u8>,
+    pub(crate) revision: u64,
+    /// The revision at which the configuration was written.
+    pub(crate) config_revision: u64,
+    pub(crate) replicas: Vec<gateway::Replica>,
+    /// The way in which calls fail, if the store is down.
+    pub(crate) fault: Option<StoreFault>,
+    /// Calls that have failed.
+    pub(crate) failed_calls: u64,
+    /// The highest revision that a watch has reported.
+    pub(crate) reported: u64,
+    /// Routers' registered entries, by name.
+    pub(crate) registered: BTreeMap<String, Vec<u8>>,
+    /// The revisions at which they were last written; no number is used twice.
+    pub(crate) entry_revisions: BTreeMap<String, u64>,
+    /// Raised each time that the store is restored from a backup.
+    pub(crate) era: u64,
+    /// The era that the last answer reported.
+    pub(crate) reported_era: u64,
+    /// The store is restored from a backup right after the next lease that it grants.
+    pub(crate) restored_after_lease: bool,
+    /// Active leases, and the names registered under them.
+    pub(crate) leases: BTreeMap<u64, String>,
+}
+
+impl FakeStore {
+    /// Returns the newest lease of a router.
+    pub(crate) fn lease_of(&self, name: &str) -> Option<u64> {
+        let holders = self.leases.iter().filter(|(_, holder)| *holder == name);
+        holders.map(|(lease, _)| *lease).max()
+    }
+
+    /// A store with a configuration and one replica.
+    pub(crate) fn with_replica(replica: &Replica) -> FakeStore {
+        FakeStore {
+            config: config(1),
+            revision: 1,
+            replicas: vec![entry("i-1", replica)],
+            ..FakeStore::default()
+        }
+    }
+}
+
+/// How calls to the store fail.
+#[derive(Debug, Clone, Copy)]
+pub(crate) enum StoreFault {
+    /// The store answers that it is busy.
+    Busy,
+    /// The store answers that there were too many calls.
+    TooManyCalls,
+    /// The store resets the connection.
+    Reset,
+    /// The store doesn't answer, until the call times out.
+    Silent,
+}
+
+impl StoreFault {
+    pub(crate) const ALL: [StoreFault; 4] = [
+        StoreFault::Busy,
+        StoreFault::TooManyCalls,
+        StoreFault::Reset,
+        StoreFault::Silent,
+    ];
+
+    async fn fail(self) -> StoreError {
+        match self {
+            StoreFault::Busy => StoreError::Refused(503),
+            StoreFault::TooManyCalls => StoreError::Refused(429),
+            StoreFault::Reset => StoreError::Lost("connection reset".to_owned()),
+            StoreFault::Silent => {
+                task::sleep(CALL_TIMEOUT).await;
+                StoreError::Lost("no answer in time".to_owned())
+            }
+        }
+    }
+}
+
+/// A gateway on loopback.
+pub(crate) struct TestGateway {
+    pub(crate) store: Arc<Mutex<FakeStore>>,
+    pub(crate) settings: Settings,
+    gateway: Option<Gateway>,
+}
+
+/// Routes of the tests: `/once/`, `/again/`, `/stream/` and `/resume/`, all with service `s`, and
+/// `/open/`, which needs no key.
+pub(crate) fn config(version: u64) -> Vec<u8> {
+    format!(r#"{{"version":{version},"keys":{{"k1":"w1","k2":"w2"}},"timeout":60000}}"#)
+        .into_bytes()
+}
+
+fn read_config(bytes: &[u8]) -> Result<Config, String> {
+    let json: Value = serde_json::from_slice(bytes).map_err(|e| e.to_string())?;
+    let mut config = Config::default();
+    config.version = json["version"].as_u64().ok_or("no version")?;
+    config.limits = Limits {
+        body_bytes: 13_000_000,
+        ..Limits::default()
+    };
+    let routes = [
+        ("/once/", RouteKind::Single, 2, false),
+        ("/again/", RouteKind::Idempotent, 2, false),
+        ("/stream/", RouteKind::Stream { resume: false }, 1, false),
+        ("/resume/", RouteKind::Stream { resume: true }, 2, false),
+        ("/open/", RouteKind::Idempotent, 2, true),
+    ];
+    for (prefix, kind, attempts, open) in routes {
+        let route = Route {
+            name: prefix.replace('/', ""),
+            prefix: prefix.to_owned(),
+            kind,
+            timeout: Duration::from_millis(json["timeout"].as_u64().unwrap()),
+            target: Duration::from_millis(300),
+            split: vec![("s".parse().unwrap(), 1)],
+            attempts,
+            open,
+        };
+        config.add_route("a.example", route);
+    }
+    config
+        .services
+        .insert("s".parse().unwrap(), Service::default());
+    let keys = json["keys"].as_object().ok_or("no keys")?;
+    let holders = keys.iter().map(|(key, name)| {
+        let name = name.as_str().unwrap();
+        (key.clone(), name.parse().unwrap())
+    });
+    config.keys = Some(holders.collect::<HashMap<_, _>>());
+    Ok(config)
+}
+
+fn no_prompt(_: &Headers) -> Option<Prompt> {
+    None
+}
+
+fn no_replica(_: &str, _: &[u8]) -> Result<gateway::Replica, String> {
+    Err("the fake store lists parsed replicas".to_owned())
+}
+
+fn query(target: &str) -> Option<AddressQuery> {
+    (target == "/addresses").then(AddressQuery::default)
+}
+
+fn addresses(list: &[SocketAddr], _: Duration) -> Vec<u8> {
+    let all: Vec<String> = list.iter().map(ToString::to_string).collect();
+    all.join(" ").into_bytes()
+}
+
+fn dialect() -> Dialect {
+    Dialect {
+        id: "X-Id",
+        deadline: "X-Deadline",
+        key: "X-Key",
+        workspace: "X-Workspace",
+        expect: "X-Expect",
+        not_run: "X-Not-Run",
+        signature: "X-Signature",
+        last_event: "X-Last",
+        copy_from: "X-Copy",
+        orders: &["X-Reserve", "X-Keep-Ms"],
+        retry_after: "Retry-After",
+        ready_path: "/ready",
+        prompt: no_prompt,
+        config: read_config,
+        replica: no_replica,
+        address_query: query,
+        address_answer: addresses,
+    }
+}
+
+type SharedStore = Arc<Mutex<FakeStore>>;
+
+/// Answers a call from the store's content, or fails if the store is down.
+fn respond<T: Send + 'static>(
+    store: &SharedStore,
+    read: impl FnOnce(&FakeStore) -> T + Send + 'static,
+) -> Pending<T> {
+    let store = store.clone();
+    Box::pin(async move {
+        let fault = store.lock().unwrap().fault;
+        match fault {
+            Some(how) => {
+                store.lock().unwrap().failed_calls += 1;
+                Err(how.fail().await)
+            }
+            None => {
+                let mut store = store.lock().unwrap();
+                store.reported_era = store.era;
+                Ok(read(&store))
+            }
+        }
+    })
+}
+
+fn versioned(store: &FakeStore) -> Option<Versioned> {
+    Some(Versioned {
+        value: store.config.clone(),
+        revision: Revision {
+            era: Era(store.era),
+            number: store.revision,
+        },
+    })
+}
+
+fn watch(store: &SharedStore, after: Revision, wait: Duration) -> Pending<Watched> {
+    let store = store.clone();
+    Box::pin(async move {
+        let until = Instant::now() + wait;
+        loop {
+            let read = respond(&store, versioned).await?.unwrap();
+            let config_revision = store.lock().unwrap().config_revision;
+            if after.era != read.revision.era || after.number > read.revision.number {
+                return Err(StoreError::Compacted);
+            }
+            if config_revision > after.number || Instant::now() >= until {
+                store.lock().unwrap().reported = read.revision.number;
+                return Ok(Watched {
+                    value: (config_revision > after.number).then_some(read.value),
+                    revision: read.revision,
+                });
+            }
+            task::sleep(Duration::from_millis(5)).await;
+        }
+    })
+}
+
+fn register(store: &SharedStore, name: String, value: Vec<u8>, lease: Lease) -> Pending<Revision> {
+    let store = store.clone();
+    Box::pin(async move {
+        respond(&store, |_| ()).await?;
+        let mut store = store.lock().unwrap();
+        store.leases.insert(lease.id, name.clone());
+        let number = store.entry_revisions.values().max().unwrap_or(&0) + 1;
+        store.entry_revisions.insert(name.clone(), number);
+        store.registered.insert(name, value);
+        let era = Era(store.era);
+        Ok(Revision { era, number })
+    })
+}
+
+fn unregister(store: &SharedStore, name: String, written: Revision) -> Pending<bool> {
+    let store = store.clone();
+    Box::pin(async move {
+        respond(&store, |_| ()).await?;
+        let mut store = store.lock().unwrap();
+        let as_written = store.entry_revisions.get(&name) == Some(&written.number);
+        Ok(as_written && store.registered.remove(&name).is_some())
+    })
+}
+
+fn take_lease(store: &SharedStore) -> Pending<Lease> {
+    let store = store.clone();
+    Box::pin(async move {
+        respond(&store, |_| ()).await?;
+        let mut store = store.lock().unwrap();
+        let id = store.leases.keys().last().map_or(1, |last| last + 1);
+        store.leases.insert(id, String::new());
+        let era = Era(store.era);
+        if std::mem::take(&mut store.restored_after_lease) {
+            store.era += 1;
+        }
+        Ok(Lease { era, id })
+    })
+}
+
+fn list_replicas(store: &FakeStore) -> ReplicaList {
+    ReplicaList {
+        replicas: store.replicas.clone(),
+        revision: Revision {
+            era: Era(store.era),
+            number: store.revision,
+        },
+    }
+}
+
+fn list_routers(store: &FakeStore) -> Vec<Registered> {
+    let entries = store.registered.iter();
+    let entries = entries.map(|(name, value)| Registered {
+        value: value.clone(),
+        lease: store.lease_of(name).unwrap_or(0),
+    });
+    entries.collect()
+}
+
+/// Renews any lease with this number, and returns whether it is the one that was meant.
+fn renew(store: &FakeStore, lease: Lease) -> bool {
+    store.leases.contains_key(&lease.id) && lease.era == Era(store.era)
+}
+
+fn store_api(store: &SharedStore) -> Store {
+    let handle = || store.clone();
+    let (a, b, c, d, e, f, g, h, i) = (
+        handle(),
+        handle(),
+        handle(),
+        handle(),
+        handle(),
+        handle(),
+        handle(),
+        handle(),
+        handle(),
+    );
+    Store {
+        config: Box::new(move || respond(&a, versioned)),
+        watch: Box::new(move |after, wait| watch(&b, after, wait)),
+        replicas: Box::new(move || respond(&c, list_replicas)),
+        routers: Box::new(move || respond(&d, list_routers)),
+        lease: Box::new(move |_| take_lease(&e)),
+        renew: Box::new(move |lease| respond(&f, move |w| renew(w, lease))),
+        register: Box::new(move |name, value, lease| register(&g, name, value, lease)),
+        unregister: Box::new(move |name, written| unregister(&h, name, written)),
+        era: Box::new(move || Era(i.lock().unwrap().reported_era)),
+    }
+}
+
+/// Returns an unused address, with a port below the ephemeral range.
+///
+/// An ephemeral port could be taken by a connection of another test before it is bound.
+fn free_address() -> SocketAddr {
+    static NEXT: AtomicU16 = AtomicU16::new(0);
+    let base = 20_000 + (process::id() % 60) as u16 * 200;
+    loop {
+        let port = base + NEXT.fetch_add(1, Ordering::Relaxed);
+        let addr = SocketAddr::from(([127, 0, 0, 1], port));
+        if TcpListener::bind(addr).is_ok() && UdpSocket::bind(addr).is_ok() {
+            return addr;
+        }
+    }
+}
+
+fn settings(name: &str) -> Settings {
+    let text = format!(
+        r#"
+        name = "{name}"
+        zone = "z1"
+        [listen]
+        callers = "{}"
+        ready = "{}"
+        addresses = "{}"
+        peers = "{}"
+        metrics = "{}"
+        [fleet]
+        seeds = []
+        [store]
+        address = "127.0.0.1:1"
+        [bounds]
+        grace-s = 8
+        retry-ratio = 0.2
+        retry-slack = 50
+        retry-window-s = 10
+        fair-window-s = 4
+        [instance]
+        memory-mb = 100
+        descriptors = 4000
+        "#,
+        free_address(),
+        free_address(),
+        free_address(),
+        free_address(),
+        free_address()
+    );
+    Settings::parse("stage", &text).unwrap()
+}
+
+/// A replica's entry in the list.
+pub(crate) fn entry(name: &str, replica: &Replica) -> gateway::Replica {
+    gateway::Replica {
+        id: name.parse().unwrap(),
+        born: None,
+        service: "s".parse().unwrap(),
+        addr: replica.addr,
+        zone: "z1".parse().unwrap(),
+        slots: 6,
+        state: State::Ready,
+    }
+}
+
+impl TestGateway {
+    /// Starts a gateway that knows these replicas, and waits until it is ready.
+    pub(crate) fn start(replicas: &[(&str, &Replica)]) -> TestGateway {
+        let list = replicas.iter().map(|(name, r)| entry(name, r)).collect();
+        let store = FakeStore {
+            config: config(1),
+            revision: 1,
+            replicas: list,
+            ..FakeStore::default()
+        };
+        let gw = TestGateway::start_with(Arc::new(Mutex::new(store)), "g1", |_| {});
+        gw.wait_ready();
+        gw
+    }
+
+    /// Starts a gateway with a store that may be shared.
+    pub(crate) fn start_with(
+        store: Arc<Mutex<FakeStore>>,
+        name: &str,
+        change: impl FnOnce(&mut Settings),
+    ) -> TestGateway {
+        let mut settings = settings(name);
+        change(&mut settings);
+        let gateway = task::block_on(gateway::start(
+            settings.clone(),
+            dialect(),
+            store_api(&store),
+        ));
+        TestGateway {
+            store,
+            settings,
+            gateway: Some(gateway.unwrap()),
+        }
+    }
+
+    pub(crate) fn wait_ready(&self) {
+        wait_until(|| self.ready());
+    }
+
+    pub(crate) fn ready(&self) -> bool {
+        let mut caller = Caller::open(self.settings.listen.ready);
+        caller.get("/ready", "-", "").status == 200
+    }
+
+    pub(crate) fn caller(&self) -> Caller {
+        Caller::open(self.settings.listen.callers)
+    }
+
+    /// Sends a GET request over a new connection.
+    pub(crate) fn get(&self, path: &str, id: &str) -> Answer {
+        self.caller().get(path, id, "")
+    }
+
+    /// Puts a configuration into the store.
+    pub(crate) fn put_config(&self, config: Vec<u8>) {
+        let mut store = self.store.lock().unwrap();
+        store.config = config;
+        store.revision += 1;
+        store.config_revision = store.revision;
+    }
+
+    /// Restores the store from a backup of `revision`, after which other keys than the
+    /// configuration were written up to revision `now`.
+    pub(crate) fn restore(&self, revision: u64, config: Vec<u8>, now: u64) {
+        let mut store = self.store.lock().unwrap();
+        store.config = config;
+        store.config_revision = revision + 1;
+        store.revision = now;
+        store.era += 1;
+    }
+
+    /// Waits until the gateway has received the current content of the store.
+    pub(crate) fn wait_synced(&self) {
+        wait_until(|| {
+            let store = self.store.lock().unwrap();
+            store.reported == store.revision
+        });
+        // The gateway has the content before it acts on it; its next call comes after that.
+        let asked = Instant::now();
+        wait_until(|| asked.elapsed() > Duration::from_millis(100));
+    }
+
+    /// Starts the shutdown of the gateway; the thread returns when it has ended.
+    pub(crate) fn end(&mut self) -> thread::JoinHandle<()> {
+        let gateway = self.gateway.take().unwrap();
+        thread::spawn(move || task::block_on(gateway.end()))
+    }
+}
+
+/// Waits until a condition holds.
+pub(crate) fn wait_until(holds: impl Fn() -> bool) {
+    let until = Instant::now() + HANG_TIMEOUT;
+    while !holds() {
+        assert!(Instant::now() < until, "the condition was not met in time");
+        thread::sleep(Duration::from_millis(5));
+    }
+}
--- a/crates/gateway/tests/gateway/leaving.rs
+++ b/crates/gateway/tests/gateway/leaving.rs
@@ -1,18 +1,18 @@
-//! The end of an instance, and replicas that leave.
+//! Shutdown of an instance, and replicas that leave.
 
 use {
     crate::{
-        caller::get,
+        caller::get_request,
+        harness::{
+            wait_until,
+            StoreFault,
+            TestGateway, //
+        },
         replica::{
-            good,
+            ok_answer,
             Replica,
             Step, //
         },
-        stage::{
-            wait,
-            Down,
-            Stage, //
-        },
     },
     gateway::State,
     std::{
@@ -21,28 +21,28 @@
     },
 };
 
-/// Longer than routers go without reading the list of replicas, and less than half of the time
-/// after which entries lapse.
+/// Longer than the interval in which routers read the list of replicas, and less than half of the
+/// time after which entries expire.
 const OUTAGE: Duration = Duration::from_millis(1_500);
 
-fn slow(ms: u64) -> Replica {
+fn slow_replica(ms: u64) -> Replica {
     Replica::start(move |_, seen| {
         vec![
             Step::Pause(Duration::from_millis(ms)),
-            Step::Send(good(seen, "done")),
+            Step::Send(ok_answer(seen, "done")),
         ]
     })
 }
 
 #[test]
 fn leaving_finishes_what_runs() {
-    let replica = slow(1_500);
-    let mut stage = Stage::start(&[("i-1", &replica)]);
-    let mut caller = stage.caller();
-    caller.send(get("/once/a", "1", "").as_bytes());
-    wait(|| replica.seen().len() == 1);
-    let ended = stage.end();
-    wait(|| !stage.ready());
+    let replica = slow_replica(1_500);
+    let mut gw = TestGateway::start(&[("i-1", &replica)]);
+    let mut caller = gw.caller();
+    caller.send(get_request("/once/a", "1", "").as_bytes());
+    wait_until(|| replica.seen().len() == 1);
+    let ended = gw.end();
+    wait_until(|| !gw.ready());
     let got = caller.answer();
     assert_eq!((got.status, got.body.as_str()), (200, "done"));
     assert_eq!(got.header("connection"), Some("close"));
@@ -50,16 +50,16 @@
 }
 
 #[test]
-fn leaving_refuses_what_comes_late() {
-    // A caller kept an address for three times as long as it was told, and sends a long
-    // request to an instance that was told to end 3 s ago. Taken, it was cut when the
-    // instance had to end.
-    let replica = slow(10);
-    let mut stage = Stage::start(&[("i-1", &replica)]);
-    let ended = stage.end();
-    assert_eq!(stage.get("/once/a", "1").status, 200);
+fn leaving_rejects_late_requests() {
+    // A caller used an address for three times as long as allowed, and sends a long request to an
+    // instance whose shutdown started 3 s ago. If accepted, the request would be aborted when the
+    // instance ends.
+    let replica = slow_replica(10);
+    let mut gw = TestGateway::start(&[("i-1", &replica)]);
+    let ended = gw.end();
+    assert_eq!(gw.get("/once/a", "1").status, 200);
     thread::sleep(Duration::from_millis(2_850));
-    let got = stage.get("/once/a", "2");
+    let got = gw.get("/once/a", "2");
     assert_eq!(got.status, 503);
     assert!(got.header("retry-after").is_some());
     assert_eq!(got.header("connection"), Some("close"));
@@ -68,52 +68,51 @@
 }
 
 #[test]
-fn leaving_is_not_named() {
-    let replica = slow(10);
-    let mut stage = Stage::start(&[("i-1", &replica)]);
-    let ask = |stage: &Stage| {
-        let mut caller = crate::caller::Caller::open(stage.settings.listen.addresses);
+fn leaving_is_not_advertised() {
+    let replica = slow_replica(10);
+    let mut gw = TestGateway::start(&[("i-1", &replica)]);
+    let ask = |gw: &TestGateway| {
+        let mut caller = crate::caller::Caller::open(gw.settings.listen.addresses);
         caller.get("/addresses", "-", "")
     };
-    assert_eq!(ask(&stage).body, stage.settings.listen.callers.to_string());
-    let ended = stage.end();
-    wait(|| ask(&stage).status == 503);
+    assert_eq!(ask(&gw).body, gw.settings.listen.callers.to_string());
+    let ended = gw.end();
+    wait_until(|| ask(&gw).status == 503);
     ended.join().unwrap();
 }
 
 #[test]
 fn replica_that_drains_gets_nothing_new() {
-    let (a, b) = (slow(1), slow(1));
-    let stage = Stage::start(&[("i-1", &a), ("i-2", &b)]);
-    stage.world.lock().unwrap().replicas[0].state = State::Draining;
-    wait(|| {
+    let (a, b) = (slow_replica(1), slow_replica(1));
+    let gw = TestGateway::start(&[("i-1", &a), ("i-2", &b)]);
+    gw.store.lock().unwrap().replicas[0].state = State::Draining;
+    wait_until(|| {
         let before = a.seen().len();
-        (0..6).all(|n| stage.get("/again/a", &n.to_string()).status == 200)
-            && a.seen().len() == before
+        (0..6).all(|n| gw.get("/again/a", &n.to_string()).status == 200) && a.seen().len() == before
     });
 }
 
 #[test]
 fn store_down_changes_nothing() {
-    // The store is away for seconds and its entries lapse. When it is back its list is empty
-    // until the replicas have refreshed theirs; they live all the while.
-    for how in Down::ALL {
-        let replica = slow(1);
-        let stage = Stage::start(&[("i-1", &replica)]);
-        stage.world.lock().unwrap().down = Some(how);
+    // The store is down for seconds and its entries expire. When it is back, its list is empty
+    // until the replicas have renewed their entries; they are running all the time.
+    for how in StoreFault::ALL {
+        let replica = slow_replica(1);
+        let gw = TestGateway::start(&[("i-1", &replica)]);
+        gw.store.lock().unwrap().fault = Some(how);
         thread::sleep(OUTAGE);
-        assert_eq!(stage.get("/once/a", "1").status, 200);
+        assert_eq!(gw.get("/once/a", "1").status, 200);
         let list = {
-            let mut world = stage.world.lock().unwrap();
-            world.down = None;
-            std::mem::take(&mut world.replicas)
+            let mut store = gw.store.lock().unwrap();
+            store.fault = None;
+            std::mem::take(&mut store.replicas)
         };
         for n in 0..8 {
-            assert_eq!(stage.get("/once/a", &format!("2{n}")).status, 200);
+            assert_eq!(gw.get("/once/a", &format!("2{n}")).status, 200);
             thread::sleep(Duration::from_millis(100));
         }
-        stage.world.lock().unwrap().replicas = list;
+        gw.store.lock().unwrap().replicas = list;
         thread::sleep(Duration::from_millis(500));
-        assert_eq!(stage.get("/once/a", "3").status, 200);
+        assert_eq!(gw.get("/once/a", "3").status, 200);
     }
 }
--- a/crates/gateway/tests/gateway/main.rs
+++ b/crates/gateway/tests/gateway/main.rs
@@ -1,15 +1,15 @@
-//! A gateway between callers and replicas that misbehave on request, over loopback.
+//! Tests of gateways on loopback, with replicas that fail on request.
 
 mod answers;
 mod caller;
-mod drill;
 mod fleet;
+mod harness;
 mod leaving;
 mod once;
 mod quarantine;
 mod replica;
 mod requests;
 mod resume;
-mod stage;
 mod standby;
+mod store_restore;
 mod streams;
--- a/crates/gateway/tests/gateway/once.rs
+++ b/crates/gateway/tests/gateway/once.rs
@@ -1,48 +1,49 @@
-//! What may not be repeated runs at most once, and "not run" is true.
+//! Requests that must not be repeated run at most once, and are reported as "not run" only if they
+//! did not run.
 
 use {
     crate::{
+        harness::{
+            wait_until,
+            TestGateway, //
+        },
         replica::{
             answer,
-            good,
+            ok_answer,
             Replica,
             Step, //
         },
-        stage::{
-            wait,
-            Stage, //
-        },
     },
     std::time::Duration,
 };
 
 #[test]
-fn once_answer_lost() {
-    // An importer sees a renewal twice. The replica ran it and its answer was lost; the
-    // router sent it to the next.
+fn once_lost_answer_is_not_retried() {
+    // A replica runs a request and its answer is lost. Sent to the next replica, the request would
+    // run twice.
     let lost = || Replica::start(|_, _| vec![Step::Close]);
     let (a, b) = (lost(), lost());
-    let stage = Stage::start(&[("i-1", &a), ("i-2", &b)]);
-    let got = stage.get("/once/a", "1");
+    let gw = TestGateway::start(&[("i-1", &a), ("i-2", &b)]);
+    let got = gw.get("/once/a", "1");
     assert_eq!(got.status, 502);
     assert_eq!(a.seen().len() + b.seen().len(), 1);
 }
 
 #[test]
 fn once_time_over_while_it_runs() {
-    // The replica runs a binding and its answer never comes. At the route's timeout the
-    // caller was told "not run" and asked again: two bindings.
+    // A replica runs a request and never answers. If the caller were told "not run" at the route's
+    // timeout, it would retry, and the request would run twice.
     let replica = Replica::start(|_, _| vec![Step::UntilClosed]);
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let got = stage.caller().get("/once/a", "1", "X-Deadline: 400\r\n");
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let got = gw.caller().get("/once/a", "1", "X-Deadline: 400\r\n");
     assert_eq!(got.status, 504);
     assert_eq!(got.header("retry-after"), None);
     assert_eq!(replica.seen().len(), 1);
 }
 
 #[test]
-fn once_turned_away() {
-    // Full replicas say that they did not run it, so another may.
+fn once_rejected_is_tried_elsewhere() {
+    // Full replicas report that they did not run the request, so another one may.
     let full = || {
         Replica::start(|_, seen| {
             let id = seen.header("x-id").unwrap();
@@ -53,46 +54,47 @@
         })
     };
     let (a, b) = (full(), full());
-    let stage = Stage::start(&[("i-1", &a), ("i-2", &b)]);
-    let got = stage.get("/once/a", "1");
+    let gw = TestGateway::start(&[("i-1", &a), ("i-2", &b)]);
+    let got = gw.get("/once/a", "1");
     assert_eq!(got.status, 503);
     assert!(got.header("retry-after").is_some());
     assert_eq!(a.seen().len() + b.seen().len(), 2);
 }
 
 #[test]
-fn once_lost_then_nobody() {
-    // The first replica may have run it, then no other takes it. "Not run" would be true of
-    // the last try only.
+fn lost_attempt_is_not_reported_as_not_run() {
+    // The first replica may have run the request, and no other takes it. "Not run" would be true
+    // only of the last attempt.
     let lost = Replica::start(|_, _| vec![Step::Close]);
-    let stage = Stage::start(&[("i-1", &lost)]);
-    let got = stage.get("/again/a", "1");
+    let gw = TestGateway::start(&[("i-1", &lost)]);
+    let got = gw.get("/again/a", "1");
     assert_eq!(got.status, 502);
 }
 
 #[test]
-fn once_nobody_reached() {
-    // Nothing listens there, so no byte was sent and another replica may have it.
-    let good = Replica::start(|_, seen| vec![Step::Send(good(seen, "ok"))]);
+fn once_unreached_is_tried_elsewhere() {
+    // Nothing listens at this address, so no byte is sent and another replica may run the request.
+    let good = Replica::start(|_, seen| vec![Step::Send(ok_answer(seen, "ok"))]);
     let gone = Replica::start(|_, _| vec![]);
-    let stage = Stage::start(&[("i-1", &good)]);
+    let gw = TestGateway::start(&[("i-1", &good)]);
     {
-        let mut world = stage.world.lock().unwrap();
-        let mut entry = crate::stage::entry("i-0", &gone);
+        let mut store = gw.store.lock().unwrap();
+        let mut entry = crate::harness::entry("i-0", &gone);
         entry.addr = "127.0.0.1:1".parse().unwrap();
-        world.replicas.push(entry);
+        store.replicas.push(entry);
     }
     for n in 0..12 {
-        assert_eq!(stage.get("/once/a", &n.to_string()).status, 200);
+        assert_eq!(gw.get("/once/a", &n.to_string()).status, 200);
         std::thread::sleep(Duration::from_millis(60));
     }
 }
 
 #[test]
-fn once_caller_gone() {
-    // The caller of a renewal hangs up. Broken off, it may be half done.
+fn once_caller_gone_does_not_cancel() {
+    // The caller of a request that must not be repeated disconnects. If cancelled, the request may
+    // be half done.
     let replica = Replica::start(|_, seen| {
-        let bytes = good(seen, "done");
+        let bytes = ok_answer(seen, "done");
         let (first, rest) = bytes.split_at(20);
         // Only the second of two writes to a closed connection fails.
         vec![
@@ -102,10 +104,10 @@
             Step::Send(rest.to_vec()),
         ]
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let mut caller = stage.caller();
-    caller.send(crate::caller::get("/once/a", "1", "").as_bytes());
-    wait(|| replica.seen().len() == 1);
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let mut caller = gw.caller();
+    caller.send(crate::caller::get_request("/once/a", "1", "").as_bytes());
+    wait_until(|| replica.seen().len() == 1);
     drop(caller);
     std::thread::sleep(Duration::from_millis(700));
     assert!(replica.closed().is_empty());
@@ -120,8 +122,8 @@
             "no",
         ))]
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let got = stage.get("/once/a", "1");
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let got = gw.get("/once/a", "1");
     assert_eq!((got.status, got.body.as_str()), (500, "no"));
     assert_eq!(got.header("x-signature"), Some("s-1"));
     assert_eq!(replica.seen().len(), 1);
@@ -136,17 +138,17 @@
             "no",
         ))]
     });
-    let fine = Replica::start(|_, seen| vec![Step::Send(good(seen, "ok"))]);
-    let stage = Stage::start(&[("i-1", &bad), ("i-2", &fine)]);
+    let fine = Replica::start(|_, seen| vec![Step::Send(ok_answer(seen, "ok"))]);
+    let gw = TestGateway::start(&[("i-1", &bad), ("i-2", &fine)]);
     for n in 0..6 {
-        assert_eq!(stage.get("/again/a", &n.to_string()).status, 200);
+        assert_eq!(gw.get("/again/a", &n.to_string()).status, 200);
     }
 }
 
 #[test]
 fn again_budget_bounds_retries() {
-    // Every replica fails. Each request that is repeated would double the load of a service
-    // that is down already.
+    // Every replica fails. Retrying each request would double the load of a service that is already
+    // failing.
     let bad = || {
         Replica::start(|_, seen| {
             vec![Step::Send(answer(
@@ -157,31 +159,31 @@
         })
     };
     let (a, b) = (bad(), bad());
-    let stage = Stage::start(&[("i-1", &a), ("i-2", &b)]);
-    let mut caller = stage.caller();
+    let gw = TestGateway::start(&[("i-1", &a), ("i-2", &b)]);
+    let mut caller = gw.caller();
     for n in 0..200 {
         assert_eq!(caller.get("/again/a", &n.to_string(), "").status, 500);
     }
     let extra = a.seen().len() + b.seen().len() - 200;
-    // 0.2 of the requests and 50 besides are allowed to the whole fleet.
+    // The fleet may retry 0.2 of the requests, and 50 more.
     assert!((10..=90).contains(&extra), "{extra}");
 }
 
 #[test]
-fn again_last_try_is_waited_for() {
-    // A replica takes long. The route allows one more try, which is used, and then none: the
-    // second was given up as well, half a second before its answer came.
+fn again_last_attempt_is_waited_for() {
+    // Both replicas are slow. After the only retry of the route, the second attempt must not be
+    // abandoned as well before its answer arrives.
     let slow = || {
         Replica::start(|_, seen| {
             vec![
                 Step::Pause(Duration::from_millis(1_300)),
-                Step::Send(good(seen, "at last")),
+                Step::Send(ok_answer(seen, "at last")),
             ]
         })
     };
     let (a, b) = (slow(), slow());
-    let stage = Stage::start(&[("i-1", &a), ("i-2", &b)]);
-    let got = stage.get("/again/a", "1");
+    let gw = TestGateway::start(&[("i-1", &a), ("i-2", &b)]);
+    let got = gw.get("/again/a", "1");
     assert_eq!((got.status, got.body.as_str()), (200, "at last"));
     assert_eq!(a.seen().len() + b.seen().len(), 2);
 }
--- a/crates/gateway/tests/gateway/replica.rs
+++ b/crates/gateway/tests/gateway/replica.rs
@@ -1,7 +1,7 @@
 //! A replica that answers each request by a script.
 
 use {
-    crate::stage::wait,
+    crate::harness::wait_until,
     std::{
         collections::HashMap,
         io::{
@@ -30,42 +30,42 @@
     },
 };
 
-/// A request as the replica saw it.
+/// A request as the replica received it.
 #[derive(Debug, Clone)]
-pub(crate) struct Seen {
+pub(crate) struct SeenRequest {
     pub(crate) head: String,
     pub(crate) body: Vec<u8>,
 }
 
-/// What the replica does for a request, in order.
+/// A step of a script.
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
     Send(Vec<u8>),
     Pause(Duration),
-    /// Waits until the caller closes, and notes when.
+    /// Waits until the caller closes the connection, and records when.
     UntilClosed,
     Close,
-    /// The replica's process ends: every connection closes, and none is taken any more.
-    End,
+    /// The replica's process crashes: all connections are closed and new ones refused.
+    Crash,
 }
 
-type Script = dyn Fn(usize, &Seen) -> Vec<Step> + Send + Sync;
+type Script = dyn Fn(usize, &SeenRequest) -> Vec<Step> + Send + Sync;
 
 /// A replica on loopback.
 #[derive(Clone)]
 pub(crate) struct Replica {
     pub(crate) addr: SocketAddr,
-    /// It answers before it reads the body.
+    /// Whether it answers before it reads the body.
     early: bool,
-    seen: Arc<Mutex<Vec<Seen>>>,
+    seen: Arc<Mutex<Vec<SeenRequest>>>,
     closed: Arc<Mutex<Vec<Instant>>>,
-    ended: Arc<AtomicBool>,
-    /// Open connections, by where they come from.
+    crashed: Arc<AtomicBool>,
+    /// Open connections, by peer address.
     open: Arc<Mutex<HashMap<SocketAddr, TcpStream>>>,
 }
 
-impl Seen {
-    /// The length that it gives its body.
+impl SeenRequest {
+    /// Returns the length of its body.
     pub(crate) fn length(&self) -> usize {
         self.header("content-length")
             .map_or(0, |n| n.parse().unwrap())
@@ -82,21 +82,22 @@
 impl Replica {
     /// Starts a replica; `script` gets the number of the request, from 0 on.
     pub(crate) fn start(
-        script: impl Fn(usize, &Seen) -> Vec<Step> + Send + Sync + 'static,
+        script: impl Fn(usize, &SeenRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Replica {
-        Replica::serving(false, script)
+        Replica::start_serving(false, script)
     }
 
-    /// Starts a replica that answers once it has the head, and reads the body then.
+    /// Starts a replica that answers as soon as it has read the head, and reads the body after
+    /// that.
     pub(crate) fn start_early(
-        script: impl Fn(usize, &Seen) -> Vec<Step> + Send + Sync + 'static,
+        script: impl Fn(usize, &SeenRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Replica {
-        Replica::serving(true, script)
+        Replica::start_serving(true, script)
     }
 
-    fn serving(
+    fn start_serving(
         early: bool,
-        script: impl Fn(usize, &Seen) -> Vec<Step> + Send + Sync + 'static,
+        script: impl Fn(usize, &SeenRequest) -> Vec<Step> + Send + Sync + 'static,
     ) -> Replica {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let replica = Replica {
@@ -104,22 +105,22 @@
             addr: listener.local_addr().unwrap(),
             seen: Arc::default(),
             closed: Arc::default(),
-            ended: Arc::default(),
+            crashed: Arc::default(),
             open: Arc::default(),
         };
-        let (of, script): (Replica, Arc<Script>) = (replica.clone(), Arc::new(script));
+        let (handle, script): (Replica, Arc<Script>) = (replica.clone(), Arc::new(script));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if of.has_ended() {
+                if handle.has_crashed() {
                     return;
                 }
                 let from = stream.peer_addr().unwrap();
                 let kept = stream.try_clone().unwrap();
-                of.open.lock().unwrap().insert(from, kept);
-                let (of, script) = (of.clone(), script.clone());
+                handle.open.lock().unwrap().insert(from, kept);
+                let (handle, script) = (handle.clone(), script.clone());
                 thread::spawn(move || {
-                    of.serve(stream, &*script);
-                    of.open.lock().unwrap().remove(&from);
+                    handle.serve(stream, &*script);
+                    handle.open.lock().unwrap().remove(&from);
                 });
             }
         });
@@ -149,47 +150,47 @@
                         return;
                     }
                     Step::Close => return,
-                    Step::End => return self.end(),
+                    Step::Crash => return self.crash(),
                 }
             }
-            if self.early && !drop_body(&mut stream, &mut buf, seen.length()) {
+            if self.early && !discard_body(&mut stream, &mut buf, seen.length()) {
                 return;
             }
         }
     }
 
-    /// Ends as a process does that crashes.
-    pub(crate) fn end(&self) {
-        self.ended.store(true, Ordering::SeqCst);
-        // Wakes the thread that accepts, which then stops to listen. What is said to a caller
-        // before that would be taken as a sign of life.
+    /// Closes the listener and all connections, like a process that crashes.
+    pub(crate) fn crash(&self) {
+        self.crashed.store(true, Ordering::SeqCst);
+        // Wakes the accepting thread, which then closes the listener. Closing the connections
+        // before that would let the gateway's check find the replica alive.
         let _ = TcpStream::connect(self.addr);
-        wait(|| TcpStream::connect(self.addr).is_err());
+        wait_until(|| TcpStream::connect(self.addr).is_err());
         for (_, stream) in self.open.lock().unwrap().drain() {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Tells whether it has ended.
-    pub(crate) fn has_ended(&self) -> bool {
-        self.ended.load(Ordering::SeqCst)
+    /// Returns whether it has crashed.
+    pub(crate) fn has_crashed(&self) -> bool {
+        self.crashed.load(Ordering::SeqCst)
     }
 
-    pub(crate) fn seen(&self) -> Vec<Seen> {
+    pub(crate) fn seen(&self) -> Vec<SeenRequest> {
         self.seen.lock().unwrap().clone()
     }
 
-    /// Returns when callers closed on it.
+    /// Returns when callers closed their connections.
     pub(crate) fn closed(&self) -> Vec<Instant> {
         self.closed.lock().unwrap().clone()
     }
 }
 
-fn read(stream: &mut TcpStream, buf: &mut Vec<u8>, early: bool) -> Option<Seen> {
+fn read(stream: &mut TcpStream, buf: &mut Vec<u8>, early: bool) -> Option<SeenRequest> {
     loop {
         if let Some(end) = buf.windows(4).position(|w| w == b"\r\n\r\n") {
             let head = String::from_utf8_lossy(&buf[..end]).into_owned();
-            let mut seen = Seen {
+            let mut seen = SeenRequest {
                 head,
                 body: Vec::new(),
             };
@@ -208,8 +209,8 @@
     }
 }
 
-/// Reads what is left of a body that was not read before the answer.
-fn drop_body(stream: &mut TcpStream, buf: &mut Vec<u8>, length: usize) -> bool {
+/// Reads the rest of a body that was not read before the answer.
+fn discard_body(stream: &mut TcpStream, buf: &mut Vec<u8>, length: usize) -> bool {
     let mut part = [0; 4096];
     while buf.len() < length {
         match stream.read(&mut part) {
@@ -221,8 +222,8 @@
     true
 }
 
-/// A good answer to a request.
-pub(crate) fn good(seen: &Seen, body: &str) -> Vec<u8> {
+/// A successful answer to a request.
+pub(crate) fn ok_answer(seen: &SeenRequest, body: &str) -> Vec<u8> {
     answer(seen.header("x-id").unwrap_or("-"), "200 OK", body)
 }
 
@@ -235,7 +236,7 @@
 }
 
 /// The head of a stream.
-pub(crate) fn stream_head(seen: &Seen) -> Vec<u8> {
+pub(crate) fn stream_head(seen: &SeenRequest) -> Vec<u8> {
     let id = seen.header("x-id").unwrap_or("-");
     format!(
         "HTTP/1.1 200 OK\r\nX-Id: {id}\r\nX-Signature: s-{id}\r\n\
@@ -249,7 +250,7 @@
     format!("{:x}\r\n{text}\r\n", text.len()).into_bytes()
 }
 
-/// Events from one number to another, as one chunk.
+/// A range of events, as one chunk.
 pub(crate) fn events(from: u64, to: u64) -> Vec<u8> {
     let all: String = (from..=to).map(event).collect();
     chunk(&all)
--- a/crates/gateway/tests/gateway/resume.rs
+++ b/crates/gateway/tests/gateway/resume.rs
@@ -1,45 +1,45 @@
-//! Requests whose replica is silent or broke off, and that need another one.
+//! Requests that need another replica, as theirs is silent or has aborted its answer.
 
 use {
     crate::{
         caller::{
-            get,
-            Caller,
-            Got, //
+            get_request,
+            Answer,
+            Caller, //
+        },
+        harness::{
+            entry,
+            wait_until,
+            TestGateway, //
         },
         replica::{
             answer,
             chunk,
             event,
             events,
-            good,
+            ok_answer,
             stream_head,
             Replica,
-            Seen,
+            SeenRequest,
             Step, //
         },
-        stage::{
-            entry,
-            wait,
-            Stage, //
-        },
     },
     std::time::Duration,
 };
 
 /// Requests that fill a replica: two and a half for each of its six slots.
-const FULL: usize = 15;
-/// Longer than any of these tests lasts.
-const LONG: Duration = Duration::from_secs(60);
-/// Longer than a replica may be silent before another is tried.
-const PAUSE: Duration = Duration::from_millis(2_000);
+const FULL_REQUESTS: usize = 15;
+/// Longer than any of these tests runs.
+const HOLD_TIME: Duration = Duration::from_secs(60);
+/// Longer than a replica may be silent before a backup is tried.
+const SILENCE: Duration = Duration::from_millis(2_000);
 
-fn path(seen: &Seen) -> &str {
+fn path(seen: &SeenRequest) -> &str {
     seen.head.split(' ').nth(1).unwrap()
 }
 
-/// The events behind the last that the router has, and the end of the stream.
-fn rest(seen: &Seen) -> Vec<Step> {
+/// The events after the last one that the router has, and the end of the stream.
+fn remaining_events(seen: &SeenRequest) -> Vec<Step> {
     let last: u64 = seen.header("x-last").map_or(0, |n| n.parse().unwrap());
     vec![
         Step::Send(stream_head(seen)),
@@ -48,56 +48,58 @@
     ]
 }
 
-/// Two events, a pause, and then what `then` says.
-fn two_events(seen: &Seen, then: &[Step]) -> Vec<Step> {
+/// Sends two events, and continues with the steps in `then`.
+fn two_events(seen: &SeenRequest, then: &[Step]) -> Vec<Step> {
     let mut steps = vec![Step::Send(stream_head(seen)), Step::Send(events(1, 2))];
     steps.extend_from_slice(then);
     steps
 }
 
-fn turned_away(seen: &Seen) -> Vec<Step> {
+fn rejected(seen: &SeenRequest) -> Vec<Step> {
     let id = seen.header("x-id").unwrap();
     let head =
         format!("HTTP/1.1 503 Busy\r\nX-Id: {id}\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n");
     vec![Step::Send(head.into_bytes())]
 }
 
-/// A replica that keeps other streams for long, and does with those that may be resumed what
-/// `script` says; it gets how many of these came before.
-fn busy(script: impl Fn(usize, &Seen) -> Vec<Step> + Send + Sync + 'static) -> Replica {
+/// A replica that holds other streams for long, and runs `script` for those that may be resumed,
+/// with the number of these received before.
+fn busy_replica(
+    script: impl Fn(usize, &SeenRequest) -> Vec<Step> + Send + Sync + 'static,
+) -> Replica {
     Replica::start(move |number, seen| match path(seen) {
-        "/stream/held" => vec![Step::Pause(LONG)],
-        _ => script(number - FULL, seen),
+        "/stream/held" => vec![Step::Pause(HOLD_TIME)],
+        _ => script(number - FULL_REQUESTS, seen),
     })
 }
 
-/// A gateway whose one replica is full, and the callers that fill it.
-fn filled(full: &Replica) -> (Stage, Vec<Caller>) {
-    let stage = Stage::start(&[("i-2", full)]);
-    let held = (0..FULL).map(|n| {
-        let mut caller = stage.caller();
-        caller.send(get("/stream/held", &format!("held-{n}"), "").as_bytes());
+/// A gateway whose only replica is full, and the callers that fill it.
+fn full_gateway(full: &Replica) -> (TestGateway, Vec<Caller>) {
+    let gw = TestGateway::start(&[("i-2", full)]);
+    let held = (0..FULL_REQUESTS).map(|n| {
+        let mut caller = gw.caller();
+        caller.send(get_request("/stream/held", &format!("held-{n}"), "").as_bytes());
         caller
     });
     let held = held.collect();
-    wait(|| full.seen().len() == FULL);
-    (stage, held)
+    wait_until(|| full.seen().len() == FULL_REQUESTS);
+    (gw, held)
 }
 
-fn join(stage: &Stage, name: &str, replica: &Replica) {
+fn add_replica(gw: &TestGateway, name: &str, replica: &Replica) {
     let entry = entry(name, replica);
-    stage.world.lock().unwrap().replicas.push(entry);
+    gw.store.lock().unwrap().replicas.push(entry);
 }
 
-/// Asks the replica that joins beside the full one.
-fn ask_beside(stage: &Stage, replica: &Replica, target: &str) -> Got {
-    join(stage, "i-1", replica);
-    let mut caller = stage.caller();
-    let mut asked = 0;
+/// Sends a request once the given replica is listed in addition to the full one.
+fn send_beside_full(gw: &TestGateway, replica: &Replica, target: &str) -> Answer {
+    add_replica(gw, "i-1", replica);
+    let mut caller = gw.caller();
+    let mut sent = 0;
     loop {
-        asked += 1;
-        let got = caller.get(target, &format!("asked-{asked}"), "X-Deadline: 15000\r\n");
-        // Until the router knows the new replica, all are full.
+        sent += 1;
+        let got = caller.get(target, &format!("asked-{sent}"), "X-Deadline: 15000\r\n");
+        // Until the router knows the new replica, all replicas are full.
         if got.status != 503 || !replica.seen().is_empty() {
             return got;
         }
@@ -105,95 +107,95 @@
     }
 }
 
-fn assert_whole(got: &Got) {
+fn assert_complete(got: &Answer) {
     let all: String = (1..=6).map(event).collect();
-    assert_eq!((got.status, got.whole), (200, true), "{got:?}");
+    assert_eq!((got.status, got.complete), (200, true), "{got:?}");
     assert_eq!(got.body, all);
 }
 
-/// Guards against a stream that is cut as its replica paused and all others were full.
+/// Guards against aborting a stream when its replica pauses and all others are full.
 #[test]
 fn resume_silent_replica_goes_on() {
     let pauses = Replica::start(|_, seen| {
         let then = [
-            Step::Pause(PAUSE),
+            Step::Pause(SILENCE),
             Step::Send(events(3, 6)),
             Step::Send(b"0\r\n\r\n".to_vec()),
         ];
         two_events(seen, &then)
     });
-    let full = busy(|_, seen| turned_away(seen));
-    let (stage, _held) = filled(&full);
-    assert_whole(&ask_beside(&stage, &pauses, "/resume/a"));
+    let full = busy_replica(|_, seen| rejected(seen));
+    let (gw, _held) = full_gateway(&full);
+    assert_complete(&send_beside_full(&gw, &pauses, "/resume/a"));
 }
 
-/// Guards against a failure that is given for an answer which had only not begun yet.
+/// Guards against an error when an answer is late and has not started yet.
 #[test]
 fn resume_silent_before_the_first_event() {
     let pauses = Replica::start(|_, seen| {
-        let mut steps = vec![Step::Pause(PAUSE)];
-        steps.extend(rest(seen));
+        let mut steps = vec![Step::Pause(SILENCE)];
+        steps.extend(remaining_events(seen));
         steps
     });
-    let full = busy(|_, seen| turned_away(seen));
-    let (stage, _held) = filled(&full);
-    assert_whole(&ask_beside(&stage, &pauses, "/resume/a"));
+    let full = busy_replica(|_, seen| rejected(seen));
+    let (gw, _held) = full_gateway(&full);
+    assert_complete(&send_beside_full(&gw, &pauses, "/resume/a"));
 }
 
-/// Guards against a silent replica that is left for another which then sends nothing either.
+/// Guards against abandoning a silent replica for a backup that then sends nothing either.
 #[test]
 fn resume_first_goes_on_before_the_other() {
     let pauses = Replica::start(|_, seen| {
         let then = [
-            Step::Pause(PAUSE),
+            Step::Pause(SILENCE),
             Step::Send(events(3, 6)),
             Step::Send(b"0\r\n\r\n".to_vec()),
         ];
         two_events(seen, &then)
     });
-    let mute = Replica::start(|_, seen| vec![Step::Send(stream_head(seen)), Step::UntilClosed]);
-    let stage = Stage::start(&[("i-1", &pauses)]);
-    let mut caller = stage.caller();
-    caller.send(get("/resume/a", "1", "X-Deadline: 15000\r\n").as_bytes());
-    caller.until("word-2");
-    join(&stage, "i-2", &mute);
-    assert_whole(&caller.answer());
-    wait(|| mute.closed().len() == mute.seen().len());
+    let silent = Replica::start(|_, seen| vec![Step::Send(stream_head(seen)), Step::UntilClosed]);
+    let gw = TestGateway::start(&[("i-1", &pauses)]);
+    let mut caller = gw.caller();
+    caller.send(get_request("/resume/a", "1", "X-Deadline: 15000\r\n").as_bytes());
+    caller.read_until("word-2");
+    add_replica(&gw, "i-2", &silent);
+    assert_complete(&caller.answer());
+    wait_until(|| silent.closed().len() == silent.seen().len());
 }
 
-/// Guards against a stream that is cut as replicas are full for a moment.
+/// Guards against aborting a stream when all replicas are full for a moment.
 #[test]
 fn resume_waits_for_a_full_replica() {
     let breaks = Replica::start(|_, seen| two_events(seen, &[Step::Close]));
-    let full = busy(|number, seen| match number {
-        0..3 => turned_away(seen),
-        _ => rest(seen),
+    let full = busy_replica(|number, seen| match number {
+        0..3 => rejected(seen),
+        _ => remaining_events(seen),
     });
-    let (stage, _held) = filled(&full);
-    assert_whole(&ask_beside(&stage, &breaks, "/resume/a"));
+    let (gw, _held) = full_gateway(&full);
+    assert_complete(&send_beside_full(&gw, &breaks, "/resume/a"));
 }
 
-/// Guards against a stream that is cut as no other replica is known at that moment.
+/// Guards against aborting a stream when no other replica is known for a moment.
 #[test]
 fn resume_waits_for_a_replica() {
     let breaks = Replica::start(|_, seen| two_events(seen, &[Step::Close]));
-    let fine = Replica::start(|_, seen| rest(seen));
-    let stage = Stage::start(&[("i-1", &breaks)]);
-    let mut caller = stage.caller();
-    caller.send(get("/resume/a", "1", "X-Deadline: 15000\r\n").as_bytes());
-    caller.until("word-2");
+    let fine = Replica::start(|_, seen| remaining_events(seen));
+    let gw = TestGateway::start(&[("i-1", &breaks)]);
+    let mut caller = gw.caller();
+    caller.send(get_request("/resume/a", "1", "X-Deadline: 15000\r\n").as_bytes());
+    caller.read_until("word-2");
     std::thread::sleep(Duration::from_millis(300));
-    join(&stage, "i-2", &fine);
-    assert_whole(&caller.answer());
+    add_replica(&gw, "i-2", &fine);
+    assert_complete(&caller.answer());
 }
 
-/// Guards against a stream that is cut as retries of other requests have spent the budget.
+/// Guards against aborting a stream when retries of other requests have spent the budget.
 #[test]
 fn resume_with_the_budget_spent() {
     let replica = || {
         Replica::start(|_, seen| match (path(seen), seen.header("x-last")) {
             ("/resume/a", None) => two_events(seen, &[Step::Close]),
-            ("/resume/a", _) => rest(seen),
+            ("/resume/a", _) => remaining_events(seen),
             _ => vec![Step::Send(answer(
                 seen.header("x-id").unwrap(),
                 "500 Error",
@@ -202,62 +204,59 @@
         })
     };
     let (a, b) = (replica(), replica());
-    let stage = Stage::start(&[("i-1", &a), ("i-2", &b)]);
-    let mut caller = stage.caller();
+    let gw = TestGateway::start(&[("i-1", &a), ("i-2", &b)]);
+    let mut caller = gw.caller();
     for n in 0..200 {
         assert_eq!(caller.get("/again/a", &n.to_string(), "").status, 500);
     }
-    assert_whole(
-        &stage
-            .caller()
-            .get("/resume/a", "r", "X-Deadline: 15000\r\n"),
-    );
+    assert_complete(&gw.caller().get("/resume/a", "r", "X-Deadline: 15000\r\n"));
 }
 
-/// Guards against a failure that is given for an answer which is late, as the others are full.
+/// Guards against an error for a late answer when the other replicas are full.
 #[test]
 fn again_late_answer_when_others_are_full() {
-    let late = Replica::start(|_, seen| vec![Step::Pause(PAUSE), Step::Send(good(seen, "late"))]);
-    let full = busy(|_, seen| turned_away(seen));
-    let (stage, _held) = filled(&full);
-    let got = ask_beside(&stage, &late, "/again/a");
+    let late =
+        Replica::start(|_, seen| vec![Step::Pause(SILENCE), Step::Send(ok_answer(seen, "late"))]);
+    let full = busy_replica(|_, seen| rejected(seen));
+    let (gw, _held) = full_gateway(&full);
+    let got = send_beside_full(&gw, &late, "/again/a");
     assert_eq!((got.status, got.body.as_str()), (200, "late"));
 }
 
-/// Guards against a failure that is given for an answer which is late, as the other replica turns
-/// the request away.
+/// Guards against an error for a late answer when the backup rejects the request.
 #[test]
 fn again_late_answer_when_the_other_turns_it_away() {
-    let late = Replica::start(|_, seen| vec![Step::Pause(PAUSE), Step::Send(good(seen, "late"))]);
-    let other = Replica::start(|_, seen| turned_away(seen));
-    let stage = Stage::start(&[("i-1", &late)]);
-    let mut caller = stage.caller();
-    caller.send(get("/again/a", "1", "X-Deadline: 15000\r\n").as_bytes());
-    wait(|| late.seen().len() == 1);
-    join(&stage, "i-2", &other);
+    let late =
+        Replica::start(|_, seen| vec![Step::Pause(SILENCE), Step::Send(ok_answer(seen, "late"))]);
+    let other = Replica::start(|_, seen| rejected(seen));
+    let gw = TestGateway::start(&[("i-1", &late)]);
+    let mut caller = gw.caller();
+    caller.send(get_request("/again/a", "1", "X-Deadline: 15000\r\n").as_bytes());
+    wait_until(|| late.seen().len() == 1);
+    add_replica(&gw, "i-2", &other);
     let got = caller.answer();
     assert_eq!((got.status, got.body.as_str()), (200, "late"));
 }
 
-/// What a faulty replica does with a stream, drawn from a seed.
-fn faulty(rng: &mut fastrand::Rng, seen: &Seen) -> Vec<Step> {
+/// The faulty behaviour of a replica for a stream, drawn from a seed.
+fn faulty_script(rng: &mut fastrand::Rng, seen: &SeenRequest) -> Vec<Step> {
     let last: u64 = seen.header("x-last").map_or(0, |n| n.parse().unwrap());
     if rng.u8(..4) == 0 {
-        return turned_away(seen);
+        return rejected(seen);
     }
-    // Some send events again that the router has, as replicas may.
+    // Sometimes repeats an event that the router already has, which replicas may do.
     let mut next = (last + 1).saturating_sub(rng.u64(..2)).max(1);
     let mut steps = Vec::new();
-    pause(rng, &mut steps);
+    maybe_pause(rng, &mut steps);
     steps.push(Step::Send(stream_head(seen)));
     while next <= 6 {
         match rng.u8(..8) {
-            0 => return end_early(steps, Step::Close),
-            1 => return end_early(steps, Step::UntilClosed),
-            2 => pause(rng, &mut steps),
+            0 => return end_with(steps, Step::Close),
+            1 => return end_with(steps, Step::UntilClosed),
+            2 => maybe_pause(rng, &mut steps),
             3 => {
                 steps.push(Step::Send(chunk("id: 9\nda")));
-                return end_early(steps, Step::Close);
+                return end_with(steps, Step::Close);
             }
             _ => {
                 let to = rng.u64(next..=6);
@@ -270,19 +269,19 @@
     steps
 }
 
-fn pause(rng: &mut fastrand::Rng, steps: &mut Vec<Step>) {
+fn maybe_pause(rng: &mut fastrand::Rng, steps: &mut Vec<Step>) {
     if rng.u8(..4) == 0 {
         steps.push(Step::Pause(Duration::from_millis(rng.u64(1..1_800))));
     }
 }
 
-fn end_early(mut steps: Vec<Step>, how: Step) -> Vec<Step> {
+fn end_with(mut steps: Vec<Step>, how: Step) -> Vec<Step> {
     steps.push(how);
     steps
 }
 
-/// Guards against events that are lost, doubled or joined where replicas pause, break off, repeat
-/// themselves and turn requests away while others are asked.
+/// Guards against lost, duplicated or merged events when replicas pause, abort, repeat events and
+/// reject requests while backups are tried.
 #[test]
 fn resume_any_faults_keep_order() {
     let replicas: Vec<Replica> = (0..4u64)
@@ -290,22 +289,22 @@
             Replica::start(move |number, seen| {
                 let id: u64 = seen.header("x-id").unwrap().parse().unwrap();
                 let mut rng = fastrand::Rng::with_seed(id << 32 | (number as u64) << 8 | n);
-                faulty(&mut rng, seen)
+                faulty_script(&mut rng, seen)
             })
         })
         .collect();
     let names = ["i-0", "i-1", "i-2", "i-3"];
     let list: Vec<(&str, &Replica)> = names.into_iter().zip(&replicas).collect();
-    let stage = Stage::start(&list);
+    let gw = TestGateway::start(&list);
     let callers: Vec<Caller> = (0..48u32)
         .map(|id| {
-            let mut caller = stage.caller();
-            let request = get("/resume/a", &id.to_string(), "X-Deadline: 5000\r\n");
+            let mut caller = gw.caller();
+            let request = get_request("/resume/a", &id.to_string(), "X-Deadline: 5000\r\n");
             caller.send(request.as_bytes());
             caller
         })
         .collect();
-    let mut whole = 0;
+    let mut complete = 0;
     for mut caller in callers {
         let got = caller.answer();
         if got.status != 200 {
@@ -314,9 +313,9 @@
         }
         let all: String = (1..=6).map(event).collect();
         assert!(all.starts_with(&got.body), "{got:?}");
-        assert!(!got.whole || got.body == all, "{got:?}");
-        whole += u32::from(got.whole);
+        assert!(!got.complete || got.body == all, "{got:?}");
+        complete += u32::from(got.complete);
     }
-    println!("{whole} of 48 whole");
-    assert!(whole > 0);
+    println!("{complete} of 48 complete");
+    assert!(complete > 0);
 }
--- a/crates/gateway/tests/gateway/streams.rs
+++ b/crates/gateway/tests/gateway/streams.rs
@@ -1,10 +1,14 @@
-//! Streams: each event once, in order, whole.
+//! Streams are forwarded completely, with each event once and in order.
 
 use {
     crate::{
         caller::{
-            get,
-            Got, //
+            get_request,
+            Answer, //
+        },
+        harness::{
+            wait_until,
+            TestGateway, //
         },
         replica::{
             chunk,
@@ -12,23 +16,19 @@
             events,
             stream_head,
             Replica,
-            Seen,
+            SeenRequest,
             Step, //
         },
-        stage::{
-            wait,
-            Stage, //
-        },
     },
     std::time::Duration,
 };
 
-fn all(from: u64, to: u64) -> String {
+fn event_range(from: u64, to: u64) -> String {
     (from..=to).map(event).collect()
 }
 
-/// A replica that streams events 1 to 6, or goes on behind the last that is named.
-fn whole(seen: &Seen) -> Vec<Step> {
+/// A replica that streams events 1 to 6, or continues after the last event that the request names.
+fn complete_stream(seen: &SeenRequest) -> Vec<Step> {
     let last: u64 = seen.header("x-last").map_or(0, |n| n.parse().unwrap());
     vec![
         Step::Send(stream_head(seen)),
@@ -44,31 +44,31 @@
         steps.push(Step::UntilClosed);
         steps
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let mut caller = stage.caller();
-    caller.send(get("/stream/a", "1", "").as_bytes());
-    // The replica says no more, and still the first event is here.
-    caller.until("word-1");
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let mut caller = gw.caller();
+    caller.send(get_request("/stream/a", "1", "").as_bytes());
+    // The first event is forwarded although the replica sends nothing more.
+    caller.read_until("word-1");
     drop(caller);
-    wait(|| replica.closed().len() == 1);
+    wait_until(|| replica.closed().len() == 1);
 }
 
 #[test]
-fn stream_whole() {
-    let replica = Replica::start(|_, seen| whole(seen));
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let mut caller = stage.caller();
+fn stream_complete() {
+    let replica = Replica::start(|_, seen| complete_stream(seen));
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let mut caller = gw.caller();
     for n in 0..3 {
         let got = caller.get("/stream/a", &n.to_string(), "");
-        assert_eq!((got.status, got.whole), (200, true));
-        assert_eq!(got.body, all(1, 6));
+        assert_eq!((got.status, got.complete), (200, true));
+        assert_eq!(got.body, event_range(1, 6));
     }
 }
 
 #[test]
 fn stream_cut_within_an_event() {
-    // A replica stops in the middle of an event, and another goes on. Joined as they came,
-    // a clause would have half of one sentence and half of the next.
+    // A replica stops in the middle of an event, and another one resumes the stream. If bytes were
+    // forwarded as they arrive, the caller would get half an event merged with the next one.
     let cut = Replica::start(|_, seen| {
         vec![
             Step::Send(stream_head(seen)),
@@ -78,20 +78,20 @@
             Step::Close,
         ]
     });
-    let fine = Replica::start(|_, seen| whole(seen));
-    let got = goes_on(&cut, &fine);
-    assert_eq!((got.status, got.whole), (200, true));
-    assert_eq!(got.body, all(1, 6));
+    let fine = Replica::start(|_, seen| complete_stream(seen));
+    let got = resume_at(&cut, &fine);
+    assert_eq!((got.status, got.complete), (200, true));
+    assert_eq!(got.body, event_range(1, 6));
 }
 
-/// Asks for a stream of the first replica; the second joins once two events have come.
-fn goes_on(first: &Replica, second: &Replica) -> Got {
-    let stage = Stage::start(&[("i-1", first)]);
-    let mut caller = stage.caller();
-    caller.send(get("/resume/a", "1", "").as_bytes());
-    caller.until("word-2");
-    let entry = crate::stage::entry("i-2", second);
-    stage.world.lock().unwrap().replicas.push(entry);
+/// Requests a stream from the first replica; the second is listed once two events have arrived.
+fn resume_at(first: &Replica, second: &Replica) -> Answer {
+    let gw = TestGateway::start(&[("i-1", first)]);
+    let mut caller = gw.caller();
+    caller.send(get_request("/resume/a", "1", "").as_bytes());
+    caller.read_until("word-2");
+    let entry = crate::harness::entry("i-2", second);
+    gw.store.lock().unwrap().replicas.push(entry);
     caller.answer()
 }
 
@@ -112,15 +112,14 @@
             Step::Send(b"0\r\n\r\n".to_vec()),
         ]
     });
-    let got = goes_on(&cut, &again);
-    assert!(got.whole, "{got:?}");
-    assert_eq!(got.body, all(1, 6));
+    let got = resume_at(&cut, &again);
+    assert!(got.complete, "{got:?}");
+    assert_eq!(got.body, event_range(1, 6));
 }
 
 #[test]
 fn stream_with_a_gap_is_cut() {
-    // The second replica goes on behind an event that the caller does not have. A clause
-    // would be missing from the text, and nobody could tell.
+    // The stream skips an event. Forwarded as it is, text would be missing and nobody would notice.
     let gap = Replica::start(|_, seen| {
         vec![
             Step::Send(stream_head(seen)),
@@ -129,10 +128,10 @@
             Step::Send(b"0\r\n\r\n".to_vec()),
         ]
     });
-    let stage = Stage::start(&[("i-1", &gap)]);
-    let got = stage.get("/stream/a", "1");
-    assert!(!got.whole);
-    assert_eq!(got.body, all(1, 2));
+    let gw = TestGateway::start(&[("i-1", &gap)]);
+    let got = gw.get("/stream/a", "1");
+    assert!(!got.complete);
+    assert_eq!(got.body, event_range(1, 2));
 }
 
 #[test]
@@ -147,17 +146,17 @@
         })
     };
     let (a, b) = (cut(), cut());
-    let stage = Stage::start(&[("i-1", &a), ("i-2", &b)]);
-    let got = stage.get("/stream/a", "1");
-    assert_eq!((got.status, got.whole), (200, false));
-    assert_eq!(got.body, all(1, 2));
+    let gw = TestGateway::start(&[("i-1", &a), ("i-2", &b)]);
+    let got = gw.get("/stream/a", "1");
+    assert_eq!((got.status, got.complete), (200, false));
+    assert_eq!(got.body, event_range(1, 2));
     assert_eq!(a.seen().len() + b.seen().len(), 1);
 }
 
 #[test]
 fn stream_silent_is_resumed() {
-    // Something between router and replica lost track of the connection: the stream stalls
-    // for good, and its caller gives up after two seconds.
+    // A connection was lost on the way between router and replica: the stream stalls for good, and
+    // its caller gives up after two seconds.
     let silent = Replica::start(|_, seen| {
         vec![
             Step::Send(stream_head(seen)),
@@ -165,12 +164,12 @@
             Step::UntilClosed,
         ]
     });
-    let fine = Replica::start(|_, seen| whole(seen));
-    let got = goes_on(&silent, &fine);
-    assert_eq!((got.status, got.whole), (200, true));
-    assert_eq!(got.body, all(1, 6));
-    // The silent one is left, so that it does not go on beside the other.
-    wait(|| silent.closed().len() == 1);
+    let fine = Replica::start(|_, seen| complete_stream(seen));
+    let got = resume_at(&silent, &fine);
+    assert_eq!((got.status, got.complete), (200, true));
+    assert_eq!(got.body, event_range(1, 6));
+    // The silent replica is abandoned, so that it doesn't run along with the other one.
+    wait_until(|| silent.closed().len() == 1);
 }
 
 #[test]
@@ -184,8 +183,8 @@
             Step::UntilClosed,
         ]
     });
-    let stage = Stage::start(&[("i-1", &replica)]);
-    let got = stage.caller().get("/stream/a", "1", "X-Deadline: 300\r\n");
-    assert_eq!((got.status, got.whole), (200, false));
-    assert_eq!(got.body, all(1, 1));
+    let gw = TestGateway::start(&[("i-1", &replica)]);
+    let got = gw.caller().get("/stream/a", "1", "X-Deadline: 300\r\n");
+    assert_eq!((got.status, got.complete), (200, false));
+    assert_eq!(got.body, event_range(1, 1));
 }
