--- a/crates/gateway/src/http/conn/tests.rs
+++ b/crates/gateway/src/http/conn/tests.rs
@@ -22,17 +22,17 @@
     let caller = then(caller);
     let (stream, _) = listener.accept().unwrap();
     stream.set_nonblocking(true).unwrap();
-    let gone = task::block_on(async {
+    let closed = task::block_on(async {
         let mut conn = Conn::new(stream.into()).unwrap();
         conn.read_head(4096, Head::request).await.unwrap();
         conn.is_closed().await
     });
     drop(caller);
-    gone
+    closed
 }
 
 #[test]
-fn is_gone_closed_before_it_was_read() {
+fn is_closed_before_read() {
     // An overloaded instance read a request 1.8 s after it was sent. The caller had timed out after
     // one second and closed the connection, but the request was still sent to a replica.
     assert!(read_late(|caller| {
@@ -42,12 +42,12 @@
 }
 
 #[test]
-fn is_gone_waiting() {
+fn is_closed_not_while_waiting() {
     assert!(!read_late(Some));
 }
 
 #[test]
-fn is_gone_next_request() {
+fn is_closed_not_with_next_request() {
     assert!(!read_late(|mut caller| {
         caller.write_all(REQUEST).unwrap();
         Some(caller)
--- a/crates/gateway/src/http/exchange.rs
+++ b/crates/gateway/src/http/exchange.rs
@@ -73,16 +73,16 @@
 /// If no complete answer arrives in time.
 pub async fn exchange(
     kept: &mut Option<IdleConnection>,
-    ask: &ClientRequest,
+    request: &ClientRequest,
 ) -> Result<Answer, ExchangeError> {
     let mut conn = match reuse(kept).await {
         Some(conn) => conn,
-        None => open(ask).await?,
+        None => open(request).await?,
     };
-    let lost = |e: String| ExchangeError::Lost(ask.addr, e);
-    let answer = timeout(ask.within, send(&mut conn, ask)).await;
+    let lost = |e: String| ExchangeError::Lost(request.addr, e);
+    let answer = timeout(request.within, send(&mut conn, request)).await;
     let (answer, keep) = answer
-        .map_err(|_| lost(format!("no answer within {:?}", ask.within)))?
+        .map_err(|_| lost(format!("no answer within {:?}", request.within)))?
         .map_err(|e| lost(e.to_string()))?;
     if keep {
         *kept = Some(IdleConnection(conn));
@@ -99,26 +99,26 @@
     conn.is_idle().await.then_some(conn)
 }
 
-async fn open(ask: &ClientRequest) -> Result<Conn, ExchangeError> {
-    let failed = |kind| ExchangeError::Connect(ask.addr, kind);
-    let conn = Conn::open(ask.addr, CONNECT_TIMEOUT.min(ask.within)).await;
+async fn open(request: &ClientRequest) -> Result<Conn, ExchangeError> {
+    let failed = |kind| ExchangeError::Connect(request.addr, kind);
+    let conn = Conn::open(request.addr, CONNECT_TIMEOUT.min(request.within)).await;
     conn.map_err(|e| failed(e.kind()))
 }
 
-async fn send(conn: &mut Conn, ask: &ClientRequest) -> Result<(Answer, bool), ReadError> {
+async fn send(conn: &mut Conn, request: &ClientRequest) -> Result<(Answer, bool), ReadError> {
     let mut headers = Headers::default();
-    headers.push("Host", ask.addr);
+    headers.push("Host", request.addr);
     let mut body: &[u8] = &[];
-    if let Some((kind, bytes)) = &ask.body {
+    if let Some((kind, bytes)) = &request.body {
         headers.push("Content-Type", kind);
         headers.push("Content-Length", bytes.len());
         body = bytes;
-    } else if ask.method != "GET" {
+    } else if request.method != "GET" {
         headers.push("Content-Length", 0);
     }
     let line = StartLine::Request {
-        method: ask.method.to_owned(),
-        target: ask.target.clone(),
+        method: request.method.to_owned(),
+        target: request.target.clone(),
     };
     let mut bytes = line.encode_head(&headers);
     bytes.extend_from_slice(body);
@@ -126,13 +126,13 @@
         .await
         .map_err(|e| ReadError::Broken(e.kind()))?;
     let head = conn.read_head(HEAD_MAX, Head::response).await?;
-    let mut body = Body::new(Framing::response(&head, ask.method)?);
-    let whole = body.read_all(conn, ask.max_body_bytes).await?;
+    let mut body = Body::new(Framing::response(&head, request.method)?);
+    let content = body.read_all(conn, request.max_body_bytes).await?;
     let keep = head.keeps_alive() && body.reusable();
     let answer = Answer {
         status: head.status(),
         headers: head.headers,
-        body: whole,
+        body: content,
     };
     Ok((answer, keep))
 }
--- a/crates/gateway/src/serve/permit.rs
+++ b/crates/gateway/src/serve/permit.rs
@@ -120,7 +120,7 @@
             digest: req.digest,
             cache_source: source.map(|r| r.addr),
             inputs: String::new(),
-            replica: replica.expect("what was chosen is known while the tables are locked"),
+            replica: replica.expect("the chosen replica is listed while the tables are locked"),
             key: choice.key,
             load,
             unread: choice.unread,
--- a/crates/gateway/src/upstream/pool/tests.rs
+++ b/crates/gateway/src/upstream/pool/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn take_old_one_stays_for_others() {
+fn take_leaves_older_connection_for_others() {
     // A request that must not run twice found only connections that were idle for too long, and
     // closed them. The next request, which could have used them, had to open a new one.
     task::block_on(async {
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn take_closed_one_is_passed_over() {
+fn take_skips_closed_connection() {
     // The replica has closed the most recently used connection. A request sent on it would be lost.
     task::block_on(async {
         let pool = Pool::default();
