--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -22,17 +22,17 @@
             pick_plain,
             Candidate,
             Pick,
+            PlacementRequest,
+            PlainCandidate,
             Prompt,
             ReplicaKey,
-            Server,
-            View,
-            Wish, //
+            View, //
         },
         quota::{
-            Standing,
+            UsageStanding,
             WorkspaceKey, //
         },
-        Claim,
+        AnswerState,
         ReplicaId,
         Span,
         Time, //
@@ -61,7 +61,7 @@
 /// What the router knew when it chose among engines, for the request log.
 #[derive(Debug, Clone, Copy, Default)]
 struct Basis {
-    standing: Standing,
+    standing: UsageStanding,
     view: View,
     active: bool,
 }
@@ -76,7 +76,7 @@
         write!(
             f,
             "share={:.2} even={:.2} asked={:.0} part={:.0} running={} own={} peers={} active={active}",
-            standing.share, standing.even, standing.asked, standing.part, view.running, view.own,
+            standing.share, standing.max_min_ratio, standing.demand, standing.max_min_share, view.running, view.local,
             view.peers,
         )
     }
@@ -97,11 +97,11 @@
         self: &Arc<Shared>,
         req: &Request,
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
     ) -> Result<SlotPermit, Refused> {
         let now = self.now();
         let mut tables = self.tables();
-        if let Some(left) = tables.quarantine.left(req.digest, now) {
+        if let Some(left) = tables.quarantine.remaining(req.digest, now) {
             return Err(Refused {
                 refusal: Refusal::Quarantined,
                 retry_delay: left.into(),
@@ -126,7 +126,11 @@
                     inputs: String::new(),
                 })
             }
-            Some(Pick::Refuse { after, full, bound }) => {
+            Some(Pick::Refuse {
+                retry_after: after,
+                fullness: full,
+                bound,
+            }) => {
                 if let (Some(prompt), Some(workspace), Some(basis)) =
                     (prompt, &req.workspace, basis)
                 {
@@ -156,13 +160,13 @@
         req: &Request,
         (prompt, engine): (&Prompt, Engine),
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
         now: Time,
     ) -> (Option<Pick>, Basis) {
         let workspace = req.workspace.as_ref().map(WorkspaceKey::of);
-        let standing = workspace.map_or(Standing::default(), |key| {
+        let standing = workspace.map_or(UsageStanding::default(), |key| {
             if tried.is_empty() {
-                self.quota.asked(key, prompt.cost(), now);
+                self.quota.record_requested(key, prompt.cost(), now);
             }
             self.quota.standing(key, id_fraction(&req.id), now)
         });
@@ -173,19 +177,19 @@
             active: self.fleet.is_active(),
         };
         let baseline = self.baseline_failures(req);
-        let home = prompt.home().unwrap_or_default();
+        let home = prompt.affinity_key().unwrap_or_default();
         let candidates: Vec<Candidate> = self
             .available(req, tried, now)
             .map(|(key, replica)| Candidate {
                 id: replica.id.clone(),
                 key,
                 slots: engine.slots,
-                copies: engine.copies,
+                can_copy: engine.copies,
                 memory: engine.memory,
                 speed: self.speeds.of(key),
                 load: self.board.load(key, now),
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(baseline)),
-                cached: self
+                cached_age_s: self
                     .cached
                     .get(&(key, home))
                     .map(|at| now.since(*at).as_secs()),
@@ -194,13 +198,13 @@
         if candidates.is_empty() {
             return (None, basis);
         }
-        let wish = Wish {
+        let wish = PlacementRequest {
             prompt,
-            claim,
+            answer: claim,
             target: Span::from(req.route.target),
-            shortest: Span::from(req.min_target),
-            standing,
-            words: self.fleet.pace(),
+            shortest_target: Span::from(req.min_target),
+            usage: standing,
+            load_interval: self.fleet.gossip_interval(),
             tuning: &gw.settings.placement,
         };
         (Some(pick(&candidates, &wish)), basis)
@@ -211,19 +215,19 @@
         gw: &Shared,
         req: &Request,
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
         now: Time,
     ) -> Option<Pick> {
         let baseline = self.baseline_failures(req);
-        let servers: Vec<Server> = self
+        let servers: Vec<PlainCandidate> = self
             .available(req, tried, now)
-            .map(|(key, replica)| Server {
+            .map(|(key, replica)| PlainCandidate {
                 id: replica.id.clone(),
                 key,
                 slots: replica.slots,
                 load: self.board.load(key, now),
-                took: self.latencies.of(key),
-                near: replica.zone == gw.settings.zone,
+                mean_latency_s: self.latencies.of(key),
+                same_zone: replica.zone == gw.settings.zone,
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(baseline)),
             })
             .collect();
@@ -242,7 +246,7 @@
         ready
             .filter(|(id, r)| r.service == req.service && !tried.contains(id))
             .map(|(_, r)| (r.key(), r))
-            .filter(move |(key, _)| self.health.get(key).is_none_or(|h| h.open(now)))
+            .filter(move |(key, _)| self.health.get(key).is_none_or(|h| h.is_available(now)))
     }
 
     /// Returns the baseline failure rate of a service: the lowest among its replicas.
--- a/crates/gateway/src/serve/progress.rs
+++ b/crates/gateway/src/serve/progress.rs
@@ -13,9 +13,9 @@
     policy::{
         retry::{
             Budget,
-            Spend, //
+            BudgetLimits, //
         },
-        Claim,
+        AnswerState,
         ReplicaId,
         Time, //
     },
@@ -122,7 +122,7 @@
     /// Takes one retry from the budget. Returns whether one was left.
     pub(crate) fn take_retry(&self, gw: &Shared, req: &Request) -> bool {
         let claim = self.claim();
-        let taken = with_budget(gw, req, |b, now| b.take(claim, now));
+        let taken = with_budget(gw, req, |b, now| b.try_spend(claim, now));
         if taken {
             metrics::counter!("chervilwind_retries").increment(1);
         }
@@ -175,17 +175,17 @@
         if !has_time(req.until) {
             return Err(NoRetry::Time);
         }
-        if !with_budget(gw, req, |b, now| b.take(Claim::New, now)) {
+        if !with_budget(gw, req, |b, now| b.try_spend(AnswerState::NotStarted, now)) {
             return Err(NoRetry::Budget);
         }
         Ok(())
     }
 
     /// Returns the request's claim to a slot: requests whose answer has started come first.
-    pub(crate) fn claim(&self) -> Claim {
+    pub(crate) fn claim(&self) -> AnswerState {
         match self.answer_started {
-            true => Claim::Begun,
-            false => Claim::New,
+            true => AnswerState::Started,
+            false => AnswerState::NotStarted,
         }
     }
 
@@ -232,13 +232,13 @@
 /// Counts a request that this router accepted, also for the retry budget of its service.
 pub(crate) fn record_request(gw: &Shared, req: &Request) {
     gw.tables().fleet.count_request();
-    with_budget(gw, req, |b, now| b.first(now));
+    with_budget(gw, req, |b, now| b.record_first_attempt(now));
 }
 
 /// Returns how many retries the budget of the request's service has left at this router for answers
 /// that have started.
 pub(super) fn budget_left(gw: &Shared, req: &Request) -> u32 {
-    with_budget(gw, req, |b, now| b.left(Claim::Begun, now))
+    with_budget(gw, req, |b, now| b.left(AnswerState::Started, now))
 }
 
 /// Applies `step` to the retry budget of the request's service.
@@ -253,8 +253,8 @@
     let budget = tables
         .budgets
         .entry(req.service.clone())
-        .or_insert_with(|| Budget::new(Spend::default()));
-    budget.set(Spend {
+        .or_insert_with(|| Budget::new(BudgetLimits::default()));
+    budget.set_limits(BudgetLimits {
         fraction: bounds.retry_ratio * ROUTERS_FRACTION,
         floor: bounds.retry_slack * ROUTERS_FRACTION / bounds.retry_window_s / routers,
         reserve: STARTED_EXTRA,
--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -30,7 +30,7 @@
     },
     crate::state::Shared,
     async_std::net::TcpStream,
-    policy::Claim,
+    policy::AnswerState,
     std::{
         sync::Arc,
         time::Duration, //
@@ -52,7 +52,7 @@
 ) -> Delivery {
     record_request(gw, req);
     loop {
-        let permit = match gw.acquire_slot(req, &progress.tried, Claim::New) {
+        let permit = match gw.acquire_slot(req, &progress.tried, AnswerState::NotStarted) {
             Ok(mut permit) => {
                 progress.inputs = std::mem::take(&mut permit.inputs);
                 permit
--- a/crates/policy/src/dispatch/message.rs
+++ b/crates/policy/src/dispatch/message.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         entry::ReplicaKey,
-        shares::Notes,
+        shares::UsageUpdates,
         Span, //
     },
     serde::{
@@ -30,7 +30,7 @@
     #[serde(rename = "Lend")]
     SlotGrant(SlotGrant),
     /// Between any two routers: how much service workspaces received.
-    Notes(Notes),
+    Notes(UsageUpdates),
 }
 
 /// What a router holds and what waits at it.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -32,7 +32,7 @@
 mod watch;
 
 pub use self::{
-    claim::Claim,
+    claim::AnswerState,
     dispatch::{
         Action,
         Completion,
@@ -59,7 +59,6 @@
     },
     eras::Eras,
     ids::{
-        Born,
         Era,
         IdError,
         Incarnation,
@@ -67,6 +66,7 @@
         ReplicaId,
         RouterId,
         ServiceId,
+        StartedAt,
         WorkspaceId,
         Zone, //
     },
@@ -88,7 +88,7 @@
     shares::{
         gap_bound,
         GapTerms,
-        Notes, //
+        UsageUpdates, //
     },
     time::{
         Span,
--- a/crates/policy/src/members/messages.rs
+++ b/crates/policy/src/members/messages.rs
@@ -35,11 +35,14 @@
     /// Its load.
     pub load: u32,
     /// It wants a heartbeat back at once.
-    pub ask: bool,
+    #[serde(rename = "ask")]
+    pub reply_requested: bool,
     /// Routers whose heartbeats it waits for in vain.
-    pub deaf: Vec<RouterId>,
+    #[serde(rename = "deaf")]
+    pub missing: Vec<RouterId>,
     /// News of others.
-    pub rumours: Vec<Rumour>,
+    #[serde(rename = "rumours")]
+    pub updates: Vec<GossipUpdate>,
 }
 
 /// Where a router is.
@@ -57,7 +60,7 @@
 
 /// News of a router, passed on by others.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Rumour {
+pub struct GossipUpdate {
     /// Whom it is about.
     pub id: RouterId,
     /// Which start of it.
@@ -65,12 +68,13 @@
     /// The last of its heartbeats that the news rests on.
     pub seq: u64,
     /// The news.
-    pub word: Word,
+    #[serde(rename = "word")]
+    pub state: ReportedState,
 }
 
 /// What a rumour says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Word {
+pub enum ReportedState {
     /// It was heard.
     Live,
     /// It has been silent since.
@@ -85,13 +89,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// Send a heartbeat. It may be lost.
-    Beat {
+    SendHeartbeat {
         /// To whom.
         to: RouterId,
         /// Where that router is.
         addr: SocketAddr,
         /// What to send.
-        beat: Box<Heartbeat>,
+        heartbeat: Box<Heartbeat>,
     },
     /// The view has changed, in more than the figures that routers report of themselves.
     Changed,
--- a/crates/policy/src/members/mod.rs
+++ b/crates/policy/src/members/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The list only says where to look. Whether a router is up is decided by heartbeats: a
 //! small fleet beats everyone, a large one its successors on a hash ring and a few picked
-//! at random. News of others travel inside heartbeats as rumours, each with the sequence
+//! at random. News of others travel inside heartbeats as updates, each with the sequence
 //! number of the last heartbeat it rests on, so that the fresher evidence wins.
 
 mod gaps;
@@ -10,8 +10,8 @@
 mod member;
 mod messages;
 mod news;
+mod params;
 mod peer;
-mod plan;
 mod ring;
 mod rounds;
 mod table;
@@ -24,14 +24,14 @@
     },
     messages::{
         Event,
+        GossipUpdate,
         Heartbeat,
         Intro,
-        Rumour,
-        Word, //
+        ReportedState, //
     },
-    plan::Plan,
+    params::MembershipParams,
     table::{
-        Members,
-        Own, //
+        LocalStatus,
+        Members, //
     },
 };
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -3,11 +3,11 @@
 use {
     policy::{
         actives::{
-            short,
+            router_key,
             Actives,
-            Heard,
-            Intro,
-            Said,
+            HelloKind,
+            LoadFlags,
+            RouterInfo,
             HELLO_EVERY, //
         },
         placement::{
@@ -58,7 +58,7 @@
     },
     Loads {
         next: Span,
-        said: Said,
+        said: LoadFlags,
         running: u32,
     },
     Summary {
@@ -116,8 +116,8 @@
 }
 
 /// Two in five zones' first routers are large, as a few are on the users' instances.
-fn intro(i: usize, incarnation: u64) -> Intro {
-    Intro {
+fn intro(i: usize, incarnation: u64) -> RouterInfo {
+    RouterInfo {
         incarnation: Incarnation(incarnation),
         peers: address(i),
         callers: address(i),
@@ -158,7 +158,7 @@
     /// Tells a router of the three whose addresses settings name.
     fn seed(&mut self, i: usize) {
         for seed in 0..3.min(self.routers.len()) {
-            self.routers[i].fleet.list(address(seed), self.now);
+            self.routers[i].fleet.add_address(address(seed), self.now);
         }
     }
 
@@ -207,7 +207,7 @@
 
     /// Starts a router that knows nobody but those that its settings name.
     pub(crate) fn start(&mut self, i: usize) {
-        let incarnation = self.routers[i].fleet.own().incarnation.0 + 1;
+        let incarnation = self.routers[i].fleet.local().incarnation.0 + 1;
         let own = intro(i, incarnation);
         self.routers[i] = Router {
             fleet: Actives::new(name(i), own, LEAST, Span::millis(100)),
@@ -246,19 +246,21 @@
         let number = router.number;
         let running = router.board.running();
         let due = router.fleet.due(running >= BUSY, urgent, now);
-        let said = Said {
+        let said = LoadFlags {
             busy: running >= BUSY,
             from_active: router.fleet.acts_active(now),
-            ..Said::default()
+            ..LoadFlags::default()
         };
-        router.board.hear(router.fleet.pace());
+        router
+            .board
+            .set_report_interval(router.fleet.gossip_interval());
         let sharers = router.fleet.sharers(now);
         let summaries: Vec<(SocketAddr, u32)> = due
             .relayed
             .iter()
-            .map(|(name, addr)| (*addr, running_in(&router.board.all_but(name, now))))
+            .map(|(name, addr)| (*addr, running_in(&router.board.loads_except(name, now))))
             .collect();
-        router.speaks = now + router.fleet.pace();
+        router.speaks = now + router.fleet.gossip_interval();
         let loads = |next, said| What::Loads {
             next,
             said,
@@ -268,31 +270,31 @@
             next,
             known: Vec::new(),
         };
-        for to in &due.near {
-            let next = due.near_next;
+        for to in &due.active_peers {
+            let next = due.active_next;
             if number % HELLO_EVERY == 1 {
                 self.send(i, *to, number, hello(next));
             }
-            let said = Said {
+            let said = LoadFlags {
                 to_active: true,
                 ..said
             };
             self.send(i, *to, number, loads(next, said));
         }
         for to in &due.addressed {
-            let next = due.near_next;
+            let next = due.active_next;
             if number % HELLO_EVERY == 1 {
                 self.send(i, *to, number, hello(next));
             }
             self.send(i, *to, number, loads(next, said));
         }
-        for to in &due.beside {
+        for to in &due.busy_standbys {
             if number % HELLO_EVERY == 1 {
-                self.send(i, *to, number, hello(due.beside_next));
+                self.send(i, *to, number, hello(due.busy_next));
             }
         }
         for (to, running) in summaries {
-            let next = due.near_next;
+            let next = due.active_next;
             let summary = What::Summary {
                 next,
                 running,
@@ -300,11 +302,11 @@
             };
             self.send(i, to, number, summary);
         }
-        for to in &due.far {
-            self.send(i, *to, number, hello(due.far_next));
+        for to in &due.remote {
+            self.send(i, *to, number, hello(due.remote_next));
         }
-        for to in &due.seldom {
-            self.send(i, *to, number, hello(due.seldom_next));
+        for to in &due.standbys {
+            self.send(i, *to, number, hello(due.standbys_next));
         }
     }
 
@@ -323,7 +325,7 @@
         }
         let at = self.now + Span::millis(self.rng.u64(1..8));
         self.sequence += 1;
-        let incarnation = self.routers[from].fleet.own().incarnation;
+        let incarnation = self.routers[from].fleet.local().incarnation;
         self.got[to] += bytes;
         self.words.push((
             Reverse((at, self.sequence)),
@@ -358,13 +360,15 @@
                     said,
                     running,
                 } => {
-                    let key = short(&name(from), incarnation);
+                    let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
-                    let heard = router.fleet.word(key, number, next, said, self.now);
+                    let heard = router
+                        .fleet
+                        .receive_loads(key, number, next, said, self.now);
                     if heard.is_some() {
                         router
                             .board
-                            .peer(&name(from), &at_replica(running), self.now);
+                            .set_peer(&name(from), &at_replica(running), self.now);
                     }
                 }
                 What::Summary {
@@ -372,10 +376,12 @@
                     running,
                     sharers,
                 } => {
-                    let key = short(&name(from), incarnation);
+                    let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
-                    let said = Said::default();
-                    let heard = router.fleet.word(key, number, next, said, self.now);
+                    let said = LoadFlags::default();
+                    let heard = router
+                        .fleet
+                        .receive_loads(key, number, next, said, self.now);
                     if heard.is_some() {
                         router.fleet.set_sharers(sharers, self.now);
                         router.board.set_summary(&at_replica(running), self.now);
@@ -395,11 +401,11 @@
         known: &[SocketAddr],
     ) {
         let now = self.now;
-        let intro = Intro {
+        let intro = RouterInfo {
             incarnation,
-            ..self.routers[from].fleet.own().clone()
+            ..self.routers[from].fleet.local().clone()
         };
-        let asks = self.routers[from].fleet.knows_few();
+        let asks = self.routers[from].fleet.needs_addresses();
         let silent = self.routers[from].fleet.silent();
         let speaker = &self.routers[from].fleet;
         let rate = match speaker.is_active() {
@@ -407,15 +413,15 @@
             false => 0.0,
         };
         let fleet = &mut self.routers[to].fleet;
-        let heard = fleet.hello(&name(from), number, intro, next, rate, now);
-        if heard == Heard::Old {
+        let heard = fleet.receive_hello(&name(from), number, intro, next, rate, now);
+        if heard == HelloKind::Stale {
             return;
         }
-        fleet.told_silent(&silent, now);
+        fleet.receive_silent(&silent, now);
         for addr in known {
-            fleet.list(*addr, now);
+            fleet.add_address(*addr, now);
         }
-        if heard == Heard::First && asks {
+        if heard == HelloKind::First && asks {
             self.answer(to, from);
         }
     }
@@ -424,8 +430,8 @@
         let skip = self.rng.usize(..1_000);
         let router = &mut self.routers[i];
         router.number += 1;
-        let (number, next) = (router.number, router.fleet.round());
-        let known = router.fleet.some(KNOWN, skip);
+        let (number, next) = (router.number, router.fleet.hello_interval());
+        let known = router.fleet.sample_addresses(KNOWN, skip);
         self.send(i, address(to), number, What::Hello { next, known });
     }
 
--- a/crates/policy/tests/placement/plain.rs
+++ b/crates/policy/tests/placement/plain.rs
@@ -6,17 +6,17 @@
         Latencies,
         Load,
         Pick,
+        PlainCandidate, //
         ReplicaKey,
-        Server, //
     },
-    Claim,
+    AnswerState,
     ReplicaId,
     Span, //
 };
 
-fn server(name: &str, running: u32) -> Server {
+fn server(name: &str, running: u32) -> PlainCandidate {
     let id: ReplicaId = name.parse().unwrap();
-    Server {
+    PlainCandidate {
         key: ReplicaKey::of(&id),
         id,
         slots: 6,
@@ -24,14 +24,14 @@
             running,
             ..Load::default()
         },
-        took: 0.06,
-        near: true,
+        mean_latency_s: 0.06,
+        same_zone: true,
         penalty: 0.0,
     }
 }
 
-fn chosen(servers: &[Server], roll: u64) -> String {
-    match pick_plain(servers, Claim::New, roll) {
+fn chosen(servers: &[PlainCandidate], roll: u64) -> String {
+    match pick_plain(servers, AnswerState::NotStarted, roll) {
         Pick::Run(choice) => choice.replica.to_string(),
         Pick::Refuse { .. } => "none".to_owned(),
     }
@@ -57,9 +57,9 @@
     let mut times = Latencies::default();
     let mut servers = [server("a", 0), server("b", 2), server("c", 2)];
     for _ in 0..60 {
-        times.note(servers[0].key, Span::millis(480));
+        times.record(servers[0].key, Span::millis(480));
     }
-    servers[0].took = times.of(servers[0].key);
+    servers[0].mean_latency_s = times.of(servers[0].key);
     assert_ne!(chosen(&servers, 0), "a");
 }
 
@@ -84,10 +84,10 @@
     let mut times = Latencies::default();
     let mut servers = [server("old", 1), server("new", 0)];
     for _ in 0..60 {
-        times.note(servers[0].key, Span::millis(1));
+        times.record(servers[0].key, Span::millis(1));
     }
     for server in &mut servers {
-        server.took = times.of(server.key);
+        server.mean_latency_s = times.of(server.key);
     }
     assert_eq!(chosen(&servers, 0), "new");
 }
@@ -97,7 +97,7 @@
 fn plain_begun_where_all_are_full() {
     let servers = [server("a", 20), server("b", 15)];
     assert_eq!(chosen(&servers, 0), "none");
-    let Pick::Run(choice) = pick_plain(&servers, Claim::Begun, 0) else {
+    let Pick::Run(choice) = pick_plain(&servers, AnswerState::Started, 0) else {
         panic!("refused");
     };
     assert_eq!(choice.replica.as_str(), "b");
--- a/src/router/beat.rs
+++ b/src/router/beat.rs
@@ -18,8 +18,8 @@
         members::{
             Event,
             Intro,
+            LocalStatus,
             Member,
-            Own,
             State, //
         },
         Peer,
@@ -54,17 +54,17 @@
 fn tick(router: &Arc<Router>) {
     let own = own(router);
     let mut members = lock(&router.members);
-    members.set(own);
+    members.set_local_status(own);
     members.tick(router.now());
     drop(members);
     router.follow_members();
 }
 
-fn own(router: &Router) -> Own {
+fn own(router: &Router) -> LocalStatus {
     let config = lock(&router.force).head.revision().map_or(0, |r| r.0);
     let list = lock(&router.listing).listed.revision;
     let load = lock(&router.dispatch).running() as u32;
-    Own {
+    LocalStatus {
         leaving: router.is_leaving(),
         no_platform: router.no_platform.load(Ordering::Relaxed),
         config,
@@ -79,11 +79,15 @@
         let events = lock(&self.members).take_events();
         for event in events {
             match event {
-                Event::Beat { to, addr, beat } => {
+                Event::SendHeartbeat {
+                    to,
+                    addr,
+                    heartbeat,
+                } => {
                     let zone = lock(&self.members).get(&to).map(|m| m.zone.clone());
                     let delay = zone.map_or(Duration::ZERO, |z| self.way(&z));
                     self.links.route(&to, addr, delay);
-                    self.links.send(&to, Item::Beat(*beat));
+                    self.links.send(&to, Item::Beat(*heartbeat));
                 }
                 Event::Changed => self.members_changed(),
                 Event::Replaced(incarnation) => {
