--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -61,7 +61,7 @@
 /// What the router knew when it chose among engines, for the request log.
 #[derive(Debug, Clone, Copy, Default)]
 struct Basis {
-    standing: UsageStanding,
+    usage: UsageStanding,
     view: View,
     active: bool,
 }
@@ -69,14 +69,14 @@
 impl fmt::Display for Basis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Basis {
-            standing,
+            usage,
             view,
             active,
         } = self;
         write!(
             f,
             "share={:.2} even={:.2} asked={:.0} part={:.0} running={} own={} peers={} active={active}",
-            standing.share, standing.max_min_ratio, standing.demand, standing.max_min_share, view.running, view.local,
+            usage.share, usage.max_min_ratio, usage.demand, usage.max_min_share, view.running, view.local,
             view.peers,
         )
     }
@@ -97,7 +97,7 @@
         self: &Arc<Shared>,
         req: &Request,
         tried: &[ReplicaId],
-        claim: AnswerState,
+        answer_state: AnswerState,
     ) -> Result<SlotPermit, Refused> {
         let now = self.now();
         let mut tables = self.tables();
@@ -112,10 +112,13 @@
         let (picked, basis) = match (prompt, engine) {
             (Some(prompt), Some(engine)) => {
                 let (pick, basis) =
-                    tables.pick_engine(self, req, (prompt, engine), tried, claim, now);
+                    tables.choose_engine(self, req, (prompt, engine), tried, answer_state, now);
                 (pick, Some(basis))
             }
-            _ => (tables.pick_server(self, req, tried, claim, now), None),
+            _ => (
+                tables.choose_plain(self, req, tried, answer_state, now),
+                None,
+            ),
         };
         let inputs = basis.as_ref().map_or(String::new(), Basis::to_string);
         let choice = match picked {
@@ -127,44 +130,42 @@
                 })
             }
             Some(Pick::Refuse {
-                retry_after: after,
-                fullness: full,
+                retry_after,
+                fullness,
                 bound,
             }) => {
                 if let (Some(prompt), Some(workspace), Some(basis)) =
                     (prompt, &req.workspace, basis)
                 {
                     let tokens = prompt.cost() as u64;
-                    tables
-                        .tally
-                        .refused(workspace, tokens, basis.standing, bound);
+                    tables.tally.refused(workspace, tokens, basis.usage, bound);
                 }
                 return Err(Refused {
                     refusal: Refusal::Full,
-                    retry_delay: after.into(),
-                    inputs: format!("full={full:.2} bound={bound} {inputs}"),
+                    retry_delay: retry_after.into(),
+                    inputs: format!("full={fullness:.2} bound={bound} {inputs}"),
                 });
             }
             Some(Pick::Run(choice)) => choice,
         };
-        let mut permit = tables.take_slot(self, req, choice, claim, now);
+        let mut permit = tables.take_slot(self, req, choice, answer_state, now);
         permit.inputs = inputs;
         Ok(permit)
     }
 }
 
 impl Tables {
-    fn pick_engine(
+    fn choose_engine(
         &mut self,
         gw: &Shared,
         req: &Request,
         (prompt, engine): (&Prompt, Engine),
         tried: &[ReplicaId],
-        claim: AnswerState,
+        answer_state: AnswerState,
         now: Time,
     ) -> (Option<Pick>, Basis) {
         let workspace = req.workspace.as_ref().map(WorkspaceKey::of);
-        let standing = workspace.map_or(UsageStanding::default(), |key| {
+        let usage = workspace.map_or(UsageStanding::default(), |key| {
             if tried.is_empty() {
                 self.quota.record_requested(key, prompt.cost(), now);
             }
@@ -172,12 +173,12 @@
         });
         self.board.forget(now);
         let basis = Basis {
-            standing,
+            usage,
             view: self.board.view(now),
             active: self.fleet.is_active(),
         };
         let baseline = self.baseline_failures(req);
-        let home = prompt.affinity_key().unwrap_or_default();
+        let affinity_key = prompt.affinity_key().unwrap_or_default();
         let candidates: Vec<Candidate> = self
             .available(req, tried, now)
             .map(|(key, replica)| Candidate {
@@ -191,35 +192,35 @@
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(baseline)),
                 cached_age_s: self
                     .cached
-                    .get(&(key, home))
+                    .get(&(key, affinity_key))
                     .map(|at| now.since(*at).as_secs()),
             })
             .collect();
         if candidates.is_empty() {
             return (None, basis);
         }
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             prompt,
-            answer: claim,
+            answer: answer_state,
             target: Span::from(req.route.target),
             shortest_target: Span::from(req.min_target),
-            usage: standing,
+            usage,
             load_interval: self.fleet.gossip_interval(),
             tuning: &gw.settings.placement,
         };
-        (Some(pick(&candidates, &wish)), basis)
+        (Some(pick(&candidates, &request)), basis)
     }
 
-    fn pick_server(
+    fn choose_plain(
         &mut self,
         gw: &Shared,
         req: &Request,
         tried: &[ReplicaId],
-        claim: AnswerState,
+        answer_state: AnswerState,
         now: Time,
     ) -> Option<Pick> {
         let baseline = self.baseline_failures(req);
-        let servers: Vec<PlainCandidate> = self
+        let candidates: Vec<PlainCandidate> = self
             .available(req, tried, now)
             .map(|(key, replica)| PlainCandidate {
                 id: replica.id.clone(),
@@ -231,7 +232,7 @@
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(baseline)),
             })
             .collect();
-        (!servers.is_empty()).then(|| pick_plain(&servers, claim, fastrand::u64(..)))
+        (!candidates.is_empty()).then(|| pick_plain(&candidates, answer_state, fastrand::u64(..)))
     }
 
     /// Returns the replicas of the request's service that take work and are not avoided because of
--- a/crates/gateway/src/serve/next_replica.rs
+++ b/crates/gateway/src/serve/next_replica.rs
@@ -76,7 +76,7 @@
         progress.cause = "the retry budget is spent".to_owned();
         return Ok(None);
     }
-    match gw.acquire_slot(req, &progress.tried, progress.claim()) {
+    match gw.acquire_slot(req, &progress.tried, progress.answer_state()) {
         Ok(permit) => Ok(progress.take_retry(gw, req).then_some(permit)),
         Err(refused) if refused.refusal == Refusal::Quarantined => {
             Err(AbortCause::Refused(refused.refusal))
--- a/crates/gateway/src/serve/permit.rs
+++ b/crates/gateway/src/serve/permit.rs
@@ -93,7 +93,7 @@
         gw: &Arc<Shared>,
         req: &Request,
         choice: Choice,
-        claim: AnswerState,
+        answer_state: AnswerState,
         now: Time,
     ) -> SlotPermit {
         let prompt = req.prompt.as_ref();
@@ -104,10 +104,10 @@
         };
         self.board.start(choice.key, load);
         self.health.entry(choice.key).or_default().sent(now);
-        if let Some(home) = prompt.and_then(Prompt::affinity_key) {
-            self.cached.insert((choice.key, home), now);
+        if let Some(affinity_key) = prompt.and_then(Prompt::affinity_key) {
+            self.cached.insert((choice.key, affinity_key), now);
         }
-        let counted = prompt.filter(|_| claim == AnswerState::NotStarted);
+        let counted = prompt.filter(|_| answer_state == AnswerState::NotStarted);
         if let (Some(prompt), Some(workspace)) = (counted, &req.workspace) {
             let key = WorkspaceKey::of(workspace);
             self.quota.record_served(key, prompt.cost(), now);
--- a/crates/gateway/src/serve/progress.rs
+++ b/crates/gateway/src/serve/progress.rs
@@ -115,14 +115,14 @@
 
     /// Returns whether the retry budget allows another attempt.
     pub(crate) fn has_budget(&self, gw: &Shared, req: &Request) -> bool {
-        let claim = self.claim();
-        with_budget(gw, req, |b, now| b.left(claim, now)) > 0
+        let answer_state = self.answer_state();
+        with_budget(gw, req, |b, now| b.left(answer_state, now)) > 0
     }
 
     /// Takes one retry from the budget. Returns whether one was left.
     pub(crate) fn take_retry(&self, gw: &Shared, req: &Request) -> bool {
-        let claim = self.claim();
-        let taken = with_budget(gw, req, |b, now| b.try_spend(claim, now));
+        let answer_state = self.answer_state();
+        let taken = with_budget(gw, req, |b, now| b.try_spend(answer_state, now));
         if taken {
             metrics::counter!("chervilwind_retries").increment(1);
         }
@@ -181,8 +181,8 @@
         Ok(())
     }
 
-    /// Returns the request's claim to a slot: requests whose answer has started come first.
-    pub(crate) fn claim(&self) -> AnswerState {
+    /// Returns whether the caller's answer has started; such requests come first.
+    pub(crate) fn answer_state(&self) -> AnswerState {
         match self.answer_started {
             true => AnswerState::Started,
             false => AnswerState::NotStarted,
