--- a/crates/gateway/src/fleet/documents.rs
+++ b/crates/gateway/src/fleet/documents.rs
@@ -74,7 +74,7 @@
 
 /// Fetches a document from a peer. A failure is logged and returns none.
 pub(super) async fn fetch_document<T: DeserializeOwned>(addr: SocketAddr, path: &str) -> Option<T> {
-    let ask = ClientRequest {
+    let request = ClientRequest {
         addr,
         method: "GET",
         target: path.to_owned(),
@@ -82,7 +82,7 @@
         within: FETCH_TIMEOUT,
         max_body_bytes: MAX_DOCUMENT_BYTES,
     };
-    let answer = exchange(&mut None, &ask)
+    let answer = exchange(&mut None, &request)
         .await
         .map_err(|e| log::debug!("event=document outcome=not-had from={addr} cause={e:?}"))
         .ok()?;
--- a/crates/gateway/src/fleet/messages.rs
+++ b/crates/gateway/src/fleet/messages.rs
@@ -120,7 +120,7 @@
     /// Replicas that departed recently.
     #[serde(rename = "left")]
     pub(crate) departed: Vec<ReplicaKey>,
-    /// Quarantined requests and what is needed to detect them.
+    /// Quarantine state of requests under which replicas end.
     #[serde(rename = "notes")]
     pub(crate) quarantine: QuarantineUpdate,
     /// Short names of active routers that are silent.
--- a/crates/gateway/src/fleet/receiver.rs
+++ b/crates/gateway/src/fleet/receiver.rs
@@ -198,8 +198,8 @@
     /// know only the seeds in its settings, and the store may be unreachable.
     async fn send_hello(&self, to: SocketAddr) {
         let now = self.gw.now();
-        let config = self.gw.version();
-        let number = self.gw.next_message();
+        let config = self.gw.config_version();
+        let number = self.gw.next_message_number();
         let hello = {
             let tables = self.gw.tables();
             let state = tables.sender_state(&self.gw, number, config);
@@ -235,7 +235,7 @@
             self.list_fetch
                 .spawn(async move { replica_list::fetch(&gw, at).await });
         }
-        if header.config_version > gw.version() {
+        if header.config_version > gw.config_version() {
             let gw = gw.clone();
             self.config_fetch
                 .spawn(async move { documents::fetch_config(&gw, at).await });
--- a/crates/gateway/src/fleet/sender.rs
+++ b/crates/gateway/src/fleet/sender.rs
@@ -125,8 +125,8 @@
 fn due_messages(gw: &Shared, state: &mut SendState) -> (Vec<Addressed>, Duration) {
     let now = gw.now();
     let ready = gw.is_ready();
-    let config = gw.version();
-    let number = gw.next_message();
+    let config = gw.config_version();
+    let number = gw.next_message_number();
     let urgent = gw.take_urgent();
     let mut tables = gw.tables();
     tables.fleet.set_ready(ready);
--- a/crates/gateway/src/follow/config.rs
+++ b/crates/gateway/src/follow/config.rs
@@ -68,9 +68,9 @@
 
 /// Puts a configuration in force, and announces a new one to all peers at once.
 fn apply(gw: &Shared, document: Vec<u8>) {
-    let before = gw.version();
+    let before = gw.config_version();
     gw.apply_config(document, SOURCE);
-    if gw.version() > before {
+    if gw.config_version() > before {
         gw.announce_to_all();
     }
 }
--- a/crates/gateway/src/follow/registration/tests.rs
+++ b/crates/gateway/src/follow/registration/tests.rs
@@ -34,7 +34,7 @@
 #[test]
 fn entry_keeps_quarantine_when_all_routers_end() {
     // All routers are killed at once while a request that ends replicas is quarantined. It arrives
-    // again as soon as they are back, and only their entries still tell that it is quarantined.
+    // again as soon as they are back, and only their entries still record its quarantine.
     let bytes = rmp_serde::to_vec_named(&entry(Span::secs(500))).unwrap();
     let read: RouterEntry = rmp_serde::from_slice(&bytes).unwrap();
     let notes = QuarantineUpdate {
--- a/crates/gateway/src/model/config.rs
+++ b/crates/gateway/src/model/config.rs
@@ -115,11 +115,11 @@
     pub fn add_route(&mut self, host: &str, route: Route) {
         if route.is_stream() {
             for (service, _) in &route.split {
-                let least = self
+                let shortest = self
                     .shortest_targets
                     .entry(service.clone())
                     .or_insert(route.latency_target);
-                *least = route.latency_target.min(*least);
+                *shortest = route.latency_target.min(*shortest);
             }
         }
         let routes = self.routes.entry(host.to_ascii_lowercase()).or_default();
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -190,7 +190,7 @@
     }
 
     /// Returns the version of the configuration in force, 0 without one.
-    pub(crate) fn version(&self) -> u64 {
+    pub(crate) fn config_version(&self) -> u64 {
         self.current_config()
             .map_or(0, |current| current.config.version)
     }
@@ -216,7 +216,7 @@
     }
 
     /// Returns the number of the next message to peers.
-    pub(crate) fn next_message(&self) -> u32 {
+    pub(crate) fn next_message_number(&self) -> u32 {
         self.message_number.fetch_add(1, Ordering::Relaxed) + 1
     }
 
