--- a/crates/policy/src/members/gossip.rs
+++ b/crates/policy/src/members/gossip.rs
@@ -1,4 +1,4 @@
-//! The updates that still have to be passed on.
+//! The queue of gossip updates that are still to be sent.
 
 use {
     super::{
@@ -12,25 +12,25 @@
     },
 };
 
-/// Most updates in one heartbeat.
-const PER_BEAT: usize = 8;
-/// A rumour is passed on this often for each doubling of the fleet.
-const REPEATS: u32 = 3;
+/// Maximum number of updates in one heartbeat.
+const UPDATES_PER_HEARTBEAT: usize = 8;
+/// How often an update is sent for each doubling of the fleet's size.
+const REPEATS_PER_DOUBLING: u32 = 3;
 
-/// The newest rumour about each router, and how often it is still to be sent.
+/// The newest update about each router, and how often it is still to be sent.
 #[derive(Debug, Default)]
 pub(super) struct Gossip {
     by_router: BTreeMap<RouterId, (GossipUpdate, u32)>,
 }
 
 impl Gossip {
-    /// Queues a rumour to be told to a fleet of `n`, in place of an older one.
+    /// Queues an update for a fleet of `n` routers; it replaces an older one.
     pub(super) fn push(&mut self, r: GossipUpdate, n: usize) {
-        let repeats = REPEATS * (n as u32 + 1).ilog2().max(1);
+        let repeats = REPEATS_PER_DOUBLING * (n as u32 + 1).ilog2().max(1);
         self.by_router.insert(r.id.clone(), (r, repeats));
     }
 
-    /// Takes the updates of the next heartbeat, those told least often first.
+    /// Takes the updates for the next heartbeat, those sent least often first.
     pub(super) fn take(&mut self) -> Vec<GossipUpdate> {
         let mut next: Vec<(u32, RouterId)> = self
             .by_router
@@ -38,13 +38,13 @@
             .map(|(id, (_, left))| (*left, id.clone()))
             .collect();
         next.sort_by_key(|(left, _)| Reverse(*left));
-        next.truncate(PER_BEAT);
+        next.truncate(UPDATES_PER_HEARTBEAT);
         next.into_iter()
-            .filter_map(|(_, id)| self.tell(&id))
+            .filter_map(|(_, id)| self.take_one(&id))
             .collect()
     }
 
-    fn tell(&mut self, id: &RouterId) -> Option<GossipUpdate> {
+    fn take_one(&mut self, id: &RouterId) -> Option<GossipUpdate> {
         let (r, left) = self.by_router.get_mut(id)?;
         *left -= 1;
         if *left > 0 {
@@ -55,7 +55,8 @@
 }
 
 impl GossipUpdate {
-    /// Tells whether this news beats what is known: `seq` of the same start, and `word`.
+    /// Returns whether this update wins over `state`, as known from heartbeat `seq` of the same
+    /// incarnation.
     pub(super) fn supersedes(&self, seq: u64, state: ReportedState) -> bool {
         match (self.state, state) {
             (_, ReportedState::Left) => false,
--- a/crates/policy/src/members/member.rs
+++ b/crates/policy/src/members/member.rs
@@ -1,4 +1,4 @@
-//! A router as others see it.
+//! A member of the fleet, as this router sees it.
 
 use {
     crate::{
@@ -15,73 +15,73 @@
 /// A router as this one sees it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// The router's name.
     pub id: RouterId,
-    /// Which start of it; 0 while it is only listed.
+    /// The incarnation of its process; 0 while it is only listed.
     pub incarnation: Incarnation,
-    /// Where routers reach it.
+    /// The address for other routers.
     pub addr: SocketAddr,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it, if it said so.
+    /// The address for operators, if the router announced one.
     pub operators: Option<SocketAddr>,
     /// Its availability zone.
     pub zone: Zone,
-    /// What is known of its health.
+    /// Its health.
     pub state: State,
-    /// It shuts down, by its own word or the list's: no new work for it.
+    /// It is shutting down, according to itself or to the list, and gets no new work.
     pub leaving: bool,
-    /// The platform does not answer it, by its own word.
+    /// It reports that it cannot reach the platform.
     pub no_platform: bool,
     /// Its heartbeats arrive here.
     pub inbound_ok: bool,
-    /// It says nothing of missing this router's heartbeats.
+    /// It does not report this router's heartbeats as missing.
     pub outbound_ok: bool,
     /// The revision of the configuration that it has in force.
     pub config: u64,
     /// The revision of the platform's list that it has seen.
     pub list: u64,
-    /// Its load, as it reports it.
+    /// The load that it reports.
     pub load: u32,
 }
 
-/// What is known of a router's health.
+/// The health of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum State {
-    /// The platform lists it; nothing was heard of it yet.
+    /// The platform lists it; no heartbeat was received yet.
     Listed,
-    /// It beats, or another router vouches for it.
+    /// Its heartbeats arrive here or at another router.
     Live,
-    /// It has been silent for longer than usual.
+    /// It has been silent for longer than its timeout.
     Suspect,
-    /// It stayed silent.
+    /// It stayed silent while suspected.
     Dead,
-    /// It said that it goes, and went.
+    /// It announced its shutdown and has ended.
     Left,
 }
 
 /// An entry of the platform's list of routers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Listed {
-    /// Its name.
+    /// The router's name.
     pub id: RouterId,
-    /// Where routers reach it.
+    /// The address for other routers.
     pub addr: SocketAddr,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// The platform says that it is leaving.
+    /// The platform lists it as leaving.
     pub leaving: bool,
 }
 
 impl Member {
-    /// Tells whether it is counted as part of the fleet: listed, live or suspect.
+    /// Returns whether it counts as part of the fleet: listed, live or suspect.
     pub fn up(&self) -> bool {
         matches!(self.state, State::Listed | State::Live | State::Suspect)
     }
 
-    /// Tells whether it may be given new work: up, not suspect and not leaving.
+    /// Returns whether it may get new work: up, not suspect and not leaving.
     pub fn takes_work(&self) -> bool {
         self.up() && self.state != State::Suspect && !self.leaving
     }
--- a/crates/policy/src/members/messages.rs
+++ b/crates/policy/src/members/messages.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other about themselves and others.
+//! Heartbeats, and the events of the membership state machine.
 
 use {
     crate::{
@@ -13,92 +13,92 @@
     std::net::SocketAddr, //
 };
 
-/// A sign of life of one router, sent to another.
+/// A heartbeat from one router to another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender.
     pub id: RouterId,
-    /// Which start of it.
+    /// The incarnation of the sender.
     pub incarnation: Incarnation,
-    /// Counts its rounds; the same for all that are beaten in one round.
+    /// The sequence number; all heartbeats of one round have the same.
     pub seq: u64,
-    /// Where it is; left out of most heartbeats to save bytes.
+    /// The sender's addresses; left out of most heartbeats to save bytes.
     pub intro: Option<Intro>,
-    /// It shuts down.
+    /// The sender is shutting down.
     pub leaving: bool,
-    /// The platform does not answer it.
+    /// The sender cannot reach the platform.
     pub no_platform: bool,
-    /// The revision of the configuration that it has in force.
+    /// The revision of the configuration that the sender has in force.
     pub config: u64,
-    /// The revision of the platform's list that it has seen.
+    /// The revision of the platform's list that the sender has seen.
     pub list: u64,
-    /// Its load.
+    /// The sender's load.
     pub load: u32,
-    /// It wants a heartbeat back at once.
+    /// The receiver should send a heartbeat back at once.
     #[serde(rename = "ask")]
     pub reply_requested: bool,
-    /// Routers whose heartbeats it waits for in vain.
+    /// Routers whose heartbeats are due at the sender but do not arrive.
     #[serde(rename = "deaf")]
     pub missing: Vec<RouterId>,
-    /// News of others.
+    /// Gossip about other routers.
     #[serde(rename = "rumours")]
     pub updates: Vec<GossipUpdate>,
 }
 
-/// Where a router is.
+/// The addresses and the zone of a router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intro {
-    /// Where routers reach it.
+    /// The address for other routers.
     pub addr: SocketAddr,
-    /// Where callers reach it.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// Where operators reach it, if it said so.
+    /// The address for operators, if the router announced one.
     pub operators: Option<SocketAddr>,
     /// Its availability zone.
     pub zone: Zone,
 }
 
-/// News of a router, passed on by others.
+/// The state of a router, passed on by another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GossipUpdate {
-    /// Whom it is about.
+    /// The router that the update is about.
     pub id: RouterId,
-    /// Which start of it.
+    /// The incarnation that the update is about.
     pub incarnation: Incarnation,
-    /// The last of its heartbeats that the news rests on.
+    /// The last of its heartbeats that the update is based on.
     pub seq: u64,
-    /// The news.
+    /// The reported state.
     #[serde(rename = "word")]
     pub state: ReportedState,
 }
 
-/// What a rumour says.
+/// The state that an update reports; later variants win at the same sequence number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReportedState {
-    /// It was heard.
+    /// The heartbeat was received.
     Live,
-    /// It has been silent since.
+    /// The router has been silent since that heartbeat.
     Suspect,
-    /// It stayed silent.
+    /// It stayed silent while suspected.
     Dead,
-    /// It said goodbye.
+    /// It announced that its process ends.
     Left,
 }
 
-/// What the caller of the state machine has to do.
+/// An action or a change that the caller of the state machine has to handle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
-    /// Send a heartbeat. It may be lost.
+    /// Send a heartbeat. Delivery need not be reliable.
     SendHeartbeat {
-        /// To whom.
+        /// The receiver.
         to: RouterId,
-        /// Where that router is.
+        /// The receiver's address.
         addr: SocketAddr,
-        /// What to send.
+        /// The heartbeat to send.
         heartbeat: Box<Heartbeat>,
     },
-    /// The view has changed, in more than the figures that routers report of themselves.
+    /// The view has changed in more than the revisions and loads that routers report.
     Changed,
-    /// A later start of this very router is about; this one should end.
+    /// A later incarnation of this router is running; this process should end.
     Replaced(Incarnation),
 }
--- a/crates/policy/src/members/mod.rs
+++ b/crates/policy/src/members/mod.rs
@@ -1,17 +1,18 @@
-//! Which routers are there, from the platform's lagging list and from heartbeats.
+//! Fleet membership, from the platform's list of routers and from heartbeats.
 //!
-//! The list only says where to look. Whether a router is up is decided by heartbeats: a
-//! small fleet beats everyone, a large one its successors on a hash ring and a few picked
-//! at random. News of others travel inside heartbeats as updates, each with the sequence
-//! number of the last heartbeat it rests on, so that the fresher evidence wins.
+//! The list may be stale and only gives addresses. Heartbeats decide whether a router is up.
+//! In a small fleet every router sends them to all others; in a large one to its successors on
+//! a hash ring and to a few routers chosen at random. Heartbeats carry gossip about other
+//! routers. Each update has the sequence number of the last heartbeat that it is based on, so
+//! that the more recent evidence wins.
 
-mod gaps;
 mod gossip;
+mod intervals;
 mod member;
 mod messages;
-mod news;
 mod params;
 mod peer;
+mod receive;
 mod ring;
 mod rounds;
 mod table;
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -1,8 +1,8 @@
-//! What is kept about another router.
+//! The state kept for each other router.
 
 use {
     super::{
-        gaps::Gaps,
+        intervals::IntervalStats,
         GossipUpdate,
         Heartbeat,
         Intro,
@@ -24,25 +24,25 @@
 #[derive(Debug)]
 pub(super) struct Peer {
     pub(super) member: Member,
-    /// The freshest of its heartbeats that is known of, heard here or by others.
+    /// The highest sequence number of its heartbeats, received here or by another router.
     pub(super) seq: u64,
-    /// The last of its heartbeats that arrived here, and when.
+    /// The sequence number and the time of its last heartbeat that arrived here.
     pub(super) direct: Option<(u64, Time)>,
-    /// When the present silence began, by all that is known.
-    pub(super) since: Time,
-    /// When the present silence towards this router began.
-    pub(super) quiet: Time,
-    /// When it came into its state.
-    pub(super) changed: Time,
-    /// Its heartbeats are due here in every round.
-    pub(super) due: bool,
-    /// It was asked for a heartbeat since it was last heard.
+    /// When its present silence began, including what other routers report.
+    pub(super) silent_since: Time,
+    /// When its present silence towards this router began.
+    pub(super) unheard_since: Time,
+    /// When it entered its state.
+    pub(super) state_since: Time,
+    /// This router should get its heartbeats in every round.
+    pub(super) expected: bool,
+    /// It was asked for a heartbeat since its last one arrived.
     pub(super) probed: bool,
     pub(super) listed: bool,
-    pub(super) gaps: Gaps,
-    own_leaving: bool,
-    list_leaving: bool,
-    list_stale: bool,
+    pub(super) intervals: IntervalStats,
+    announced_leaving: bool,
+    listed_leaving: bool,
+    listed_leaving_stale: bool,
 }
 
 impl Peer {
@@ -66,33 +66,34 @@
             },
             seq: 0,
             direct: None,
-            since: now,
-            quiet: now,
-            changed: now,
-            due: false,
+            silent_since: now,
+            unheard_since: now,
+            state_since: now,
+            expected: false,
             probed: false,
             listed: false,
-            gaps: Gaps::new(params),
-            own_leaving: false,
-            list_leaving: false,
-            list_stale: false,
+            intervals: IntervalStats::new(params),
+            announced_leaving: false,
+            listed_leaving: false,
+            listed_leaving_stale: false,
         }
     }
 
-    /// Notes what the platform's list says. Its own word on where it is goes first.
-    pub(super) fn list(&mut self, l: &Listed) {
+    /// Applies its entry of the platform's list. Addresses that it announced itself take
+    /// precedence.
+    pub(super) fn apply_list_entry(&mut self, l: &Listed) {
         self.listed = true;
         if self.member.incarnation == Incarnation::default() || self.member.state == State::Dead {
             self.member.addr = l.addr;
             self.member.callers = l.callers;
             self.member.zone = l.zone.clone();
         }
-        self.list_stale &= l.leaving;
-        self.list_leaving = l.leaving && !self.list_stale;
-        self.member.leaving = self.own_leaving || self.list_leaving;
+        self.listed_leaving_stale &= l.leaving;
+        self.listed_leaving = l.leaving && !self.listed_leaving_stale;
+        self.member.leaving = self.announced_leaving || self.listed_leaving;
     }
 
-    /// Starts over for a later start of the router.
+    /// Resets the state for a later incarnation of the router.
     pub(super) fn restart(&mut self, incarnation: Incarnation, params: &MembershipParams) {
         let known = self.member.incarnation != Incarnation::default();
         self.member.incarnation = incarnation;
@@ -100,39 +101,39 @@
         self.member.no_platform = false;
         self.seq = 0;
         self.direct = None;
-        self.own_leaving = false;
-        // The list lags: what it says of leaving was said of the earlier start, and it goes on
-        // saying so for a while. It counts again once it has taken that back.
-        self.list_stale |= known && self.list_leaving;
-        self.list_leaving &= !known;
-        self.member.leaving = self.list_leaving;
-        self.gaps = Gaps::new(params);
+        self.announced_leaving = false;
+        // The list lags: it still shows the earlier incarnation as leaving. Its flag is ignored
+        // until the list has cleared it once.
+        self.listed_leaving_stale |= known && self.listed_leaving;
+        self.listed_leaving &= !known;
+        self.member.leaving = self.listed_leaving;
+        self.intervals = IntervalStats::new(params);
     }
 
-    /// Notes a heartbeat of the present start that is newer than those before; tells whether
-    /// more than the figures it reports has changed.
-    pub(super) fn hear(
+    /// Applies a heartbeat of the present incarnation that is newer than those before; returns
+    /// whether more than the reported revisions and load has changed.
+    pub(super) fn apply_heartbeat(
         &mut self,
         b: &Heartbeat,
         me: &RouterId,
         params: &MembershipParams,
         now: Time,
     ) -> bool {
-        if let (true, Some((_, at))) = (self.due, self.direct) {
-            self.gaps.push(now.since(at), params);
+        if let (true, Some((_, at))) = (self.expected, self.direct) {
+            self.intervals.push(now.since(at), params);
         }
         self.direct = Some((b.seq, now));
         self.seq = self.seq.max(b.seq);
-        self.since = now;
-        self.quiet = now;
+        self.silent_since = now;
+        self.unheard_since = now;
         self.probed = false;
-        self.own_leaving = b.leaving;
+        self.announced_leaving = b.leaving;
         let m = &mut self.member;
         m.config = m.config.max(b.config);
         m.list = b.list;
         m.load = b.load;
         let before = m.clone();
-        m.leaving = self.own_leaving || self.list_leaving;
+        m.leaving = self.announced_leaving || self.listed_leaving;
         m.no_platform = b.no_platform;
         m.inbound_ok = true;
         m.outbound_ok = !b.missing.contains(me);
@@ -145,11 +146,12 @@
         *m != before
     }
 
-    /// Tells whether a heartbeat of the present start proves nothing.
-    pub(super) fn stale(&self, seq: u64) -> bool {
-        // A heartbeat that was held up may come when others have found the router dead. Taken
-        // for a sign of life it would bring work to a dead router for two more seconds. What
-        // the others say rests on the last heartbeat that any of them heard.
+    /// Returns whether a heartbeat of the present incarnation is no newer than the evidence
+    /// for its state.
+    pub(super) fn is_stale(&self, seq: u64) -> bool {
+        // A delayed heartbeat may arrive after others have declared the router dead. If it
+        // counted as a sign of life, the dead router would get work for two more seconds. The
+        // reports of others are based on the last heartbeat that any of them received.
         let heard = match self.member.state {
             State::Left => return true,
             State::Suspect | State::Dead => Some(self.seq),
@@ -158,17 +160,17 @@
         heard.is_some_and(|last| seq <= last)
     }
 
-    /// Moves to another state; returns whether it is another.
-    pub(super) fn turn(&mut self, state: State, now: Time) -> bool {
+    /// Sets the state; returns whether it changed.
+    pub(super) fn set_state(&mut self, state: State, now: Time) -> bool {
         if self.member.state == state {
             return false;
         }
         self.member.state = state;
-        self.changed = now;
+        self.state_since = now;
         true
     }
 
-    /// Returns the news about this router, as it is known here.
+    /// Returns the gossip update that describes this peer's present state.
     pub(super) fn gossip_update(&self) -> GossipUpdate {
         GossipUpdate {
             id: self.member.id.clone(),
@@ -187,16 +189,16 @@
         }
     }
 
-    /// Tells whether a heartbeat arrived here within the last two rounds.
-    pub(super) fn fresh(&self, params: &MembershipParams, now: Time) -> bool {
+    /// Returns whether a heartbeat arrived here within the last two rounds.
+    pub(super) fn recently_received(&self, params: &MembershipParams, now: Time) -> bool {
         self.direct
             .is_some_and(|(_, at)| now.since(at) <= Span(params.interval.0 * 2))
     }
 
-    /// Shifts the moments from which silence is counted, after a pause of this process.
-    pub(super) fn forgive(&mut self, pause: Span, now: Time) {
-        self.since = (self.since + pause).min(now);
-        self.quiet = (self.quiet + pause).min(now);
-        self.changed = (self.changed + pause).min(now);
+    /// Moves the start of each silence forward by a pause of this process.
+    pub(super) fn exclude_pause(&mut self, pause: Span, now: Time) {
+        self.silent_since = (self.silent_since + pause).min(now);
+        self.unheard_since = (self.unheard_since + pause).min(now);
+        self.state_since = (self.state_since + pause).min(now);
     }
 }
--- a/crates/policy/src/members/news.rs
+++ b/crates/policy/src/members/receive.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat tells, of its sender and of others.
+//! Handles received heartbeats: the sender's state, and gossip about others.
 
 use {
     super::{
@@ -17,35 +17,36 @@
     },
 };
 
-/// Most updates about routers that are not live that a newcomer is told at once.
-const GREETING: usize = 64;
+/// Maximum number of updates about routers that are not live in the first heartbeat to a
+/// newcomer.
+const NEWCOMER_UPDATES: usize = 64;
 
 impl Members {
-    /// Takes a heartbeat. It may be late, doubled or out of order.
+    /// Handles a heartbeat, which may be delayed, duplicated or out of order.
     pub fn receive_heartbeat(&mut self, b: Heartbeat, now: Time) {
         if b.id == self.me {
-            self.replaced(b.incarnation);
+            self.check_replaced(b.incarnation);
             return;
         }
-        if !self.known_or_new(&b, now) {
+        if !self.ensure_peer(&b, now) {
             return;
         }
-        if self.hear(&b, now) {
-            self.vouch(&b, now);
+        if self.apply_heartbeat(&b, now) {
+            self.report_received(&b, now);
         }
         for r in b.updates {
             self.receive_update(r, &b.id, now);
         }
         if b.reply_requested {
-            // The asker may have had this round's heartbeat already; a new number shows
-            // that this router has lived on since.
+            // The sender may have received this round's heartbeat already; a new sequence
+            // number proves that this router is still running.
             self.seq += 1;
             self.send_heartbeat(&b.id, false);
         }
     }
 
-    /// Makes an entry for a sender not known before; tells whether there is one.
-    fn known_or_new(&mut self, b: &Heartbeat, now: Time) -> bool {
+    /// Adds a sender that was not known; returns whether there is an entry for it now.
+    fn ensure_peer(&mut self, b: &Heartbeat, now: Time) -> bool {
         if self.peers.contains_key(&b.id) {
             return true;
         }
@@ -57,8 +58,9 @@
         true
     }
 
-    /// Notes what the sender says of itself; tells whether the heartbeat was news.
-    fn hear(&mut self, b: &Heartbeat, now: Time) -> bool {
+    /// Applies the sender's own state; returns whether the heartbeat was newer than what is
+    /// known.
+    fn apply_heartbeat(&mut self, b: &Heartbeat, now: Time) -> bool {
         let Some(p) = self.peers.get_mut(&b.id) else {
             return false;
         };
@@ -68,48 +70,55 @@
         let newcomer = b.incarnation > p.member.incarnation;
         if newcomer {
             p.restart(b.incarnation, &self.params);
-        } else if p.stale(b.seq) {
+        } else if p.is_stale(b.seq) {
             return false;
         }
-        if p.hear(b, &self.me, &self.params, now) {
+        if p.apply_heartbeat(b, &self.me, &self.params, now) {
             self.events.push(Event::Changed);
         }
-        self.turn(&b.id, State::Live, now);
+        self.set_state(&b.id, State::Live, now);
         if newcomer {
-            self.greet(&b.id);
+            self.inform_newcomer(&b.id);
         }
         true
     }
 
-    /// Tells a newcomer which routers are not live, since that news is no longer spread.
-    fn greet(&mut self, id: &RouterId) {
-        let news = self
+    /// Sends a newcomer the routers that are not live, as those updates are no longer gossiped.
+    fn inform_newcomer(&mut self, id: &RouterId) {
+        let updates = self
             .peers
             .values()
             .filter(|p| p.reported_state() != ReportedState::Live);
-        let news: Vec<GossipUpdate> = news.map(Peer::gossip_update).take(GREETING).collect();
-        if news.is_empty() {
+        let updates: Vec<GossipUpdate> = updates
+            .map(Peer::gossip_update)
+            .take(NEWCOMER_UPDATES)
+            .collect();
+        if updates.is_empty() {
             return;
         }
-        self.owed.insert(id.clone(), news);
+        self.pending.insert(id.clone(), updates);
         self.send_heartbeat(id, true);
     }
 
-    /// Tells the sender that routers which it misses are heard here.
-    fn vouch(&mut self, b: &Heartbeat, now: Time) {
+    /// Queues updates for the sender about routers that it misses and that are received here.
+    fn report_received(&mut self, b: &Heartbeat, now: Time) {
         for id in &b.missing {
-            let Some(p) = self.peers.get(id).filter(|p| p.fresh(&self.params, now)) else {
+            let Some(p) = self
+                .peers
+                .get(id)
+                .filter(|p| p.recently_received(&self.params, now))
+            else {
                 continue;
             };
             let r = p.gossip_update();
-            self.owed.entry(b.id.clone()).or_default().push(r);
+            self.pending.entry(b.id.clone()).or_default().push(r);
         }
     }
 
-    /// Takes news of a router, told by another.
+    /// Handles a gossip update that another router sent.
     fn receive_update(&mut self, r: GossipUpdate, from: &RouterId, now: Time) {
         if r.id == self.me {
-            return self.accused(&r, from);
+            return self.refute(&r, from);
         }
         let n = self.peers.len();
         let Some(p) = self.peers.get_mut(&r.id) else {
@@ -125,7 +134,7 @@
             p.restart(r.incarnation, &self.params);
             p.member.inbound_ok = false;
         } else if !r.supersedes(p.seq, p.reported_state()) {
-            // Fresher evidence is at hand: pass that on instead.
+            // More recent evidence is known here: pass that on instead.
             if r.state != ReportedState::Live
                 && p.reported_state() == ReportedState::Live
                 && r.seq < p.seq
@@ -136,14 +145,14 @@
         }
         p.seq = p.seq.max(r.seq);
         if r.state == ReportedState::Live {
-            p.since = now;
+            p.silent_since = now;
         }
-        self.turn(&r.id, r.state.member_state(), now);
+        self.set_state(&r.id, r.state.member_state(), now);
     }
 
-    /// Answers news of this router itself.
-    fn accused(&mut self, r: &GossipUpdate, from: &RouterId) {
-        self.replaced(r.incarnation);
+    /// Handles an update about this router: refutes that it is not live.
+    fn refute(&mut self, r: &GossipUpdate, from: &RouterId) {
+        self.check_replaced(r.incarnation);
         if r.incarnation != self.incarnation || r.state == ReportedState::Live {
             return;
         }
@@ -159,7 +168,8 @@
         self.send_heartbeat(from, false);
     }
 
-    fn replaced(&mut self, by: Incarnation) {
+    /// Reports a later incarnation of this router.
+    fn check_replaced(&mut self, by: Incarnation) {
         if by > self.incarnation {
             self.events.push(Event::Replaced(by));
         }
--- a/crates/policy/src/members/rounds.rs
+++ b/crates/policy/src/members/rounds.rs
@@ -1,4 +1,4 @@
-//! What happens as time passes: rounds of heartbeats, suspicion, death.
+//! Timed actions: heartbeat rounds, failure detection and removal of departed routers.
 
 use {
     super::{
@@ -14,32 +14,32 @@
     std::collections::BTreeSet, //
 };
 
-/// How many routers that are thought dead are tried in a round, to find those that are back.
-const DEAD_TRIES: usize = 2;
+/// How many dead routers get a heartbeat in each round, to detect those that are back.
+const DEAD_PROBES: usize = 2;
 
 impl Members {
-    /// Lets time pass; call it at least once in each heartbeat interval.
+    /// Advances the time; must be called at least once in each heartbeat interval.
     pub fn tick(&mut self, now: Time) {
-        self.forgive(now);
-        if self.round.is_none_or(|at| now >= at) {
-            self.round = Some(now + self.params.interval);
+        self.exclude_pause(now);
+        if self.next_round.is_none_or(|at| now >= at) {
+            self.next_round = Some(now + self.params.interval);
             self.seq += 1;
             let ring = Ring::new(self.ring_ids());
-            self.expect(&ring, now);
+            self.update_expected(&ring, now);
             for id in self.targets(&ring) {
                 self.send_heartbeat(&id, false);
             }
         }
-        self.judge(now);
-        self.forget(now);
+        self.detect_failures(now);
+        self.remove_departed(now);
     }
 
-    /// Counts no silence that fell into a pause of this process.
-    fn forgive(&mut self, now: Time) {
-        // A process that was stopped or starved finds all others silent when it goes on.
-        // It would call the whole fleet dead, and take over every pool. The others' silence
-        // can't be told from its own, so the pause is not counted.
-        let last = self.ticked.replace(now);
+    /// Excludes a pause of this process from the silence of the others.
+    fn exclude_pause(&mut self, now: Time) {
+        // A process that was stopped or starved of CPU sees all others as silent when it
+        // resumes. It would declare the whole fleet dead and take over every pool. As their
+        // silence can't be distinguished from its own, the pause is not counted.
+        let last = self.last_tick.replace(now);
         let Some(gap) = last.map(|t| now.since(t)) else {
             return;
         };
@@ -47,7 +47,7 @@
             return;
         }
         for p in self.peers.values_mut() {
-            p.forgive(gap, now);
+            p.exclude_pause(gap, now);
         }
     }
 
@@ -57,66 +57,66 @@
         others.chain(std::iter::once(&self.me))
     }
 
-    /// Notes whose heartbeats are due here in every round.
-    fn expect(&mut self, ring: &Ring, now: Time) {
-        let due: BTreeSet<RouterId> = ring
+    /// Updates which routers should send a heartbeat to this one in every round.
+    fn update_expected(&mut self, ring: &Ring, now: Time) {
+        let expected: BTreeSet<RouterId> = ring
             .predecessors(&self.me, &self.params)
             .into_iter()
             .collect();
         for p in self.peers.values_mut() {
-            let was = std::mem::replace(&mut p.due, due.contains(&p.member.id));
-            if p.due && !was {
-                p.since = now;
-                p.quiet = now;
+            let was = std::mem::replace(&mut p.expected, expected.contains(&p.member.id));
+            if p.expected && !was {
+                p.silent_since = now;
+                p.unheard_since = now;
                 p.probed = false;
             }
         }
     }
 
-    /// Chooses whom to beat in this round.
+    /// Chooses the receivers of this round's heartbeats.
     pub(super) fn targets(&mut self, ring: &Ring) -> BTreeSet<RouterId> {
         let mut to: BTreeSet<RouterId> = ring
             .successors(&self.me, &self.params)
             .into_iter()
             .collect();
-        let mut lost: Vec<RouterId> = Vec::new();
+        let mut dead: Vec<RouterId> = Vec::new();
         let mut rest: Vec<RouterId> = Vec::new();
         for p in self.peers.values() {
             match p.member.state {
-                State::Dead => lost.push(p.member.id.clone()),
+                State::Dead => dead.push(p.member.id.clone()),
                 s if s.on_ring() && !to.contains(&p.member.id) => rest.push(p.member.id.clone()),
                 _ => {}
             }
         }
-        self.rng.shuffle(&mut lost);
+        self.rng.shuffle(&mut dead);
         self.rng.shuffle(&mut rest);
-        to.extend(lost.into_iter().take(DEAD_TRIES));
+        to.extend(dead.into_iter().take(DEAD_PROBES));
         let free = self.params.fanout.saturating_sub(to.len());
         to.extend(rest.into_iter().take(free));
         to
     }
 
-    /// Suspects the silent, and gives up suspects that stay silent.
-    fn judge(&mut self, now: Time) {
+    /// Marks silent routers as suspect, and suspects that stay silent as dead.
+    fn detect_failures(&mut self, now: Time) {
         let mut probes = Vec::new();
-        let mut turns = Vec::new();
+        let mut transitions = Vec::new();
         for p in self.peers.values_mut() {
             let id = &p.member.id;
-            let silence = now.since(p.since);
-            let limit = p.gaps.limit(&self.params);
+            let silence = now.since(p.silent_since);
+            let timeout = p.intervals.timeout(&self.params);
             match p.member.state {
-                State::Listed | State::Live if p.due => {
-                    if now.since(p.quiet) + self.params.interval > limit && !p.probed {
+                State::Listed | State::Live if p.expected => {
+                    if now.since(p.unheard_since) + self.params.interval > timeout && !p.probed {
                         p.probed = true;
                         p.member.inbound_ok = false;
                         probes.push(id.clone());
                     }
-                    if silence > limit {
-                        turns.push((id.clone(), State::Suspect));
+                    if silence > timeout {
+                        transitions.push((id.clone(), State::Suspect));
                     }
                 }
-                State::Suspect if now.since(p.changed) > self.params.confirm_timeout => {
-                    turns.push((id.clone(), State::Dead));
+                State::Suspect if now.since(p.state_since) > self.params.confirm_timeout => {
+                    transitions.push((id.clone(), State::Dead));
                 }
                 _ => {}
             }
@@ -124,17 +124,17 @@
         for id in probes {
             self.send_heartbeat(&id, true);
         }
-        for (id, state) in turns {
-            self.turn(&id, state, now);
+        for (id, state) in transitions {
+            self.set_state(&id, state, now);
         }
     }
 
-    /// Forgets routers that are long gone and no longer listed.
-    fn forget(&mut self, now: Time) {
-        let forget = self.params.retention;
+    /// Removes routers that departed long ago and are no longer listed.
+    fn remove_departed(&mut self, now: Time) {
+        let retention = self.params.retention;
         self.peers.retain(|_, p| {
-            let gone = matches!(p.member.state, State::Dead | State::Left);
-            p.listed || !gone || now.since(p.changed) < forget
+            let departed = matches!(p.member.state, State::Dead | State::Left);
+            p.listed || !departed || now.since(p.state_since) < retention
         });
     }
 }
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -1,4 +1,4 @@
-//! All routers known to this one.
+//! The table of all routers that this one knows.
 
 use {
     super::{
@@ -27,8 +27,8 @@
     },
 };
 
-/// The rounds between two introductions to a router that beats back.
-const INTRO_EVERY: u64 = 16;
+/// Rounds between two heartbeats with addresses to a router whose heartbeats arrive here.
+const INTRO_INTERVAL: u64 = 16;
 
 /// The routers known to this one, itself included.
 ///
@@ -66,31 +66,31 @@
     pub(super) seq: u64,
     pub(super) peers: BTreeMap<RouterId, Peer>,
     pub(super) gossip: Gossip,
-    /// Rumours owed to one router, in the next heartbeat to it.
-    pub(super) owed: BTreeMap<RouterId, Vec<GossipUpdate>>,
+    /// Updates for one router, to be sent in the next heartbeat to it.
+    pub(super) pending: BTreeMap<RouterId, Vec<GossipUpdate>>,
     pub(super) events: Vec<Event>,
-    pub(super) ticked: Option<Time>,
-    pub(super) round: Option<Time>,
+    pub(super) last_tick: Option<Time>,
+    pub(super) next_round: Option<Time>,
 }
 
-/// What a router says of itself in its heartbeats.
+/// The status of this router that its heartbeats carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LocalStatus {
-    /// It shuts down.
+    /// The router is shutting down.
     pub leaving: bool,
-    /// The platform does not answer it.
+    /// The router cannot reach the platform.
     pub no_platform: bool,
     /// The revision of the configuration in force.
     pub config: u64,
-    /// The revision of the platform's list that it has seen.
+    /// The revision of the platform's list that the router has seen.
     pub list: u64,
-    /// Its load.
+    /// The router's load.
     pub load: u32,
 }
 
 impl Members {
-    /// Makes the table of a router that knows only itself. The seed picks whom it beats
-    /// at random; give each router another.
+    /// Creates the table of a router that knows only itself. The seed determines the random
+    /// receivers of its heartbeats and should differ between routers.
     pub fn new(
         me: RouterId,
         incarnation: Incarnation,
@@ -108,14 +108,14 @@
             seq: 0,
             peers: BTreeMap::new(),
             gossip: Gossip::default(),
-            owed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             events: Vec::new(),
-            ticked: None,
-            round: None,
+            last_tick: None,
+            next_round: None,
         }
     }
 
-    /// Sets what the next heartbeats say of this router.
+    /// Sets the status that the next heartbeats carry.
     pub fn set_local_status(&mut self, local: LocalStatus) {
         if self.local.leaving != local.leaving {
             self.events.push(Event::Changed);
@@ -123,7 +123,7 @@
         self.local = local;
     }
 
-    /// Adds a router that the settings name, where no list is at hand.
+    /// Adds a router from the settings or from a peer, for when no list is available.
     pub fn seed(&mut self, id: RouterId, intro: Intro, now: Time) {
         if id == self.me || self.peers.contains_key(&id) {
             return;
@@ -133,8 +133,8 @@
         self.events.push(Event::Changed);
     }
 
-    /// Takes the platform's list. It lags, so it adds routers but never takes away one
-    /// that still beats.
+    /// Applies the platform's list. As the list lags, it adds routers but never removes one
+    /// that still sends heartbeats.
     pub fn update_list(&mut self, list: Vec<Listed>, now: Time) {
         for p in self.peers.values_mut() {
             p.listed = false;
@@ -152,7 +152,7 @@
             self.seed(l.id.clone(), intro, now);
             if let Some(p) = self.peers.get_mut(&l.id) {
                 let before = p.member.clone();
-                p.list(&l);
+                p.apply_list_entry(&l);
                 if p.member != before {
                     self.events.push(Event::Changed);
                 }
@@ -160,12 +160,12 @@
         }
     }
 
-    /// Notes that a router said goodbye on its connection.
+    /// Marks a router as left that said goodbye on its connection.
     pub fn mark_left(&mut self, id: &RouterId, now: Time) {
-        self.turn(id, State::Left, now);
+        self.set_state(id, State::Left, now);
     }
 
-    /// Says goodbye to everyone: this router's process ends now.
+    /// Queues heartbeats which announce that this router's process ends now.
     pub fn goodbye(&mut self) {
         self.seq += 1;
         let left = GossipUpdate {
@@ -176,12 +176,15 @@
         };
         let ring = Ring::new(self.ring_ids());
         for id in self.targets(&ring) {
-            self.owed.entry(id.clone()).or_default().push(left.clone());
+            self.pending
+                .entry(id.clone())
+                .or_default()
+                .push(left.clone());
             self.send_heartbeat(&id, false);
         }
     }
 
-    /// Takes what is to be done since the last call.
+    /// Takes the events since the last call, with [`Event::Changed`] at most once.
     pub fn take_events(&mut self) -> Vec<Event> {
         let mut changed = false;
         let mut events = mem::take(&mut self.events);
@@ -192,7 +195,7 @@
         events
     }
 
-    /// Returns the routers that count: this one and all that are listed, live or suspect.
+    /// Returns the members of the fleet: this router and all that are listed, live or suspect.
     pub fn view(&self) -> Vec<Member> {
         let others = self.peers.values().map(|p| &p.member);
         let mut all: Vec<Member> = others.filter(|m| m.up()).cloned().collect();
@@ -201,12 +204,12 @@
         all
     }
 
-    /// Returns what is known of a router, whatever its state.
+    /// Returns another router, whatever its state.
     pub fn get(&self, id: &RouterId) -> Option<&Member> {
         self.peers.get(id).map(|p| &p.member)
     }
 
-    /// Returns all other routers known, also dead ones, for the dump.
+    /// Returns all other routers, including dead ones, for the dump.
     pub fn known(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().map(|p| &p.member)
     }
@@ -230,18 +233,18 @@
         }
     }
 
-    /// Moves a router to another state and tells others.
-    pub(super) fn turn(&mut self, id: &RouterId, state: State, now: Time) {
+    /// Sets a router's state and gossips the change.
+    pub(super) fn set_state(&mut self, id: &RouterId, state: State, now: Time) {
         let n = self.peers.len();
         let Some(p) = self.peers.get_mut(id) else {
             return;
         };
         let before = p.member.state;
-        if !p.turn(state, now) {
+        if !p.set_state(state, now) {
             return;
         }
         self.events.push(Event::Changed);
-        // A listed router that is first heard is what everyone expects.
+        // The first heartbeat of a listed router is no news: all routers expect it.
         if (before, state) != (State::Listed, State::Live) {
             self.gossip.push(p.gossip_update(), n);
         }
@@ -253,9 +256,9 @@
         let Some(p) = self.peers.get(to) else {
             return;
         };
-        let mut updates = self.owed.remove(to).unwrap_or_default();
+        let mut updates = self.pending.remove(to).unwrap_or_default();
         updates.extend(self.gossip.take());
-        let known = p.member.inbound_ok && !reply_requested && self.seq % INTRO_EVERY != 0;
+        let known = p.member.inbound_ok && !reply_requested && self.seq % INTRO_INTERVAL != 0;
         let heartbeat = Heartbeat {
             id: self.me.clone(),
             incarnation: self.incarnation,
@@ -277,11 +280,12 @@
         });
     }
 
+    /// Returns the routers whose heartbeats are due here but do not arrive.
     fn missing(&self) -> Vec<RouterId> {
         let missing = self
             .peers
             .values()
-            .filter(|p| p.due && !p.member.inbound_ok && p.member.up());
+            .filter(|p| p.expected && !p.member.inbound_ok && p.member.up());
         missing.map(|p| p.member.id.clone()).collect()
     }
 }
