--- a/crates/policy/src/tickets/answers.rs
+++ b/crates/policy/src/tickets/answers.rs
@@ -1,11 +1,11 @@
-//! Which recorded answers are kept: the newest, up to a number of bytes.
+//! Eviction of recorded answers: the newest are kept, up to a number of bytes.
 
 use {
     super::Ticket,
     std::collections::VecDeque, //
 };
 
-/// The order in which answers were recorded, and their bytes.
+/// The recorded answers in the order of recording, with their sizes.
 #[derive(Debug)]
 pub(super) struct Answers {
     order: VecDeque<(Ticket, usize)>,
@@ -22,22 +22,22 @@
         }
     }
 
-    /// Notes an answer and returns the tickets whose answers must go, oldest first.
+    /// Adds an answer and returns the tickets whose answers must be dropped, oldest first.
     pub(super) fn push(&mut self, t: &Ticket, bytes: usize) -> Vec<Ticket> {
         self.order.push_back((t.clone(), bytes));
         self.bytes += bytes;
-        let mut gone = Vec::new();
+        let mut evicted = Vec::new();
         while self.bytes > self.max {
             let Some((t, n)) = self.order.pop_front() else {
                 break;
             };
             self.bytes -= n;
-            gone.push(t);
+            evicted.push(t);
         }
-        gone
+        evicted
     }
 
-    /// Drops the notes of answers that `kept` says are gone.
+    /// Removes the answers for which `kept` returns false.
     pub(super) fn retain(&mut self, kept: impl Fn(&Ticket) -> bool) {
         self.order.retain(|(t, _)| kept(t));
         self.bytes = self.order.iter().map(|(_, n)| n).sum();
--- a/crates/policy/src/tickets/entry.rs
+++ b/crates/policy/src/tickets/entry.rs
@@ -1,4 +1,4 @@
-//! What is remembered of one ticket.
+//! The entry of one ticket.
 
 use {
     super::{
@@ -8,17 +8,17 @@
     crate::Time, //
 };
 
-/// What is known of a ticket that is no longer just issued.
+/// The state of a ticket that was claimed, requested or received.
 #[derive(Debug)]
 pub(super) struct Entry {
     pub(super) state: State,
-    /// How often the ticket had changed hands when it came to its present holder.
+    /// Number of transfers up to the present holder.
     pub(super) hop: u32,
-    /// How often it was granted here.
+    /// Number of grants by this router.
     pub(super) attempt: u32,
     pub(super) expires: Time,
-    /// When the entry may be dropped, unless it runs.
-    pub(super) until: Time,
+    /// When the entry may be removed, unless the request is running.
+    pub(super) keep_until: Time,
 }
 
 #[derive(Debug)]
--- a/crates/policy/src/tickets/issued.rs
+++ b/crates/policy/src/tickets/issued.rs
@@ -1,4 +1,4 @@
-//! The numbers issued so far, remembered as ranges that expire together.
+//! The numbers issued so far, stored as ranges that expire together.
 
 use {
     crate::{
@@ -8,8 +8,8 @@
     std::collections::VecDeque, //
 };
 
-/// Numbers issued within this span expire together, so they cost one entry.
-const GRAIN: Span = Span::secs(1);
+/// Numbers issued within this span share one range and expire together.
+const RANGE_WINDOW: Span = Span::secs(1);
 
 /// Ranges of issued numbers, oldest first.
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     ranges: VecDeque<Range>,
 }
 
-/// Numbers from the end of the range before up to `end`.
+/// The numbers from the end of the previous range up to `end`.
 #[derive(Debug)]
 struct Range {
     end: u64,
@@ -26,13 +26,13 @@
 }
 
 impl Issued {
-    /// Takes the next `n` numbers, to be used before `now` + `life`.
-    pub(super) fn take(&mut self, n: u32, now: Time, life: Span) -> std::ops::Range<u64> {
+    /// Takes the next `n` numbers, to be used before `now` + `ttl`.
+    pub(super) fn take(&mut self, n: u32, now: Time, ttl: Span) -> std::ops::Range<u64> {
         let first = self.next;
         self.next += u64::from(n);
-        let expires = now + life;
+        let expires = now + ttl;
         match self.ranges.back_mut() {
-            Some(r) if expires.since(r.expires) < GRAIN => r.end = self.next,
+            Some(r) if expires.since(r.expires) < RANGE_WINDOW => r.end = self.next,
             _ => self.ranges.push_back(Range {
                 end: self.next,
                 expires,
@@ -41,14 +41,15 @@
         first..self.next
     }
 
-    /// Returns when a number expires: `None` if it was never issued or is forgotten.
+    /// Returns when a number expires: `None` if it was never issued or its range was removed.
     pub(super) fn expires(&self, number: u64) -> Option<Time> {
         let i = self.ranges.partition_point(|r| r.end <= number);
         self.ranges.get(i).map(|r| r.expires)
     }
 
-    /// Forgets the ranges that expired before `t`; returns the first number still known.
-    pub(super) fn retire(&mut self, t: Time) -> Option<u64> {
+    /// Removes the ranges that expired before `t`; if there are any, returns the first number
+    /// still known.
+    pub(super) fn remove_expired(&mut self, t: Time) -> Option<u64> {
         let mut first = None;
         while let Some(r) = self.ranges.front().filter(|r| r.expires < t) {
             first = Some(r.end);
@@ -57,7 +58,7 @@
         first
     }
 
-    /// Returns how many numbers were issued.
+    /// Returns the number of tickets issued.
     pub(super) fn count(&self) -> u64 {
         self.next
     }
--- a/crates/policy/src/tickets/messages.rs
+++ b/crates/policy/src/tickets/messages.rs
@@ -1,4 +1,4 @@
-//! What a claim comes to, and what routers ask each other about a ticket.
+//! Results of a claim, and the messages that transfer a ticket between routers.
 
 use {
     super::{
@@ -23,25 +23,25 @@
     },
 };
 
-/// What a router may do for a request that carries a ticket.
+/// The result of claiming a ticket: what the router may do for the request.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Claim {
-    /// It may start the request, and must end the grant by `finish` or `release`.
+    /// It may start the request, and must end the grant with `finish` or `release`.
     Granted(Grant),
-    /// The request runs, or is about to; its outcome can be had later.
+    /// The request is running or about to start; its outcome will be available later.
     Running,
-    /// The request has ended; the same outcome is given again.
+    /// The request has ended; its recorded outcome is returned again.
     Done(Record),
-    /// Another router holds the ticket: ask it. If it can't be asked, the request may
-    /// have run.
+    /// Another router holds the ticket and must be asked. If it cannot be reached, the request
+    /// may have run.
     AskHolder(TransferRequest),
     /// The request never ran and never will: "not run" is true.
     Expired,
-    /// Nobody remembers: the request may have run.
+    /// No router has a record of the ticket: the request may have run.
     Unknown,
 }
 
-/// The right to start the request of a ticket now. It can't be copied.
+/// The right to start the request of a ticket now. It cannot be cloned.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Grant {
     pub(super) ticket: Ticket,
@@ -49,13 +49,13 @@
 }
 
 impl Grant {
-    /// Returns the ticket it was granted for.
+    /// Returns the granted ticket.
     pub fn ticket(&self) -> &Ticket {
         &self.ticket
     }
 }
 
-/// How a request ended, with its answer where that is still kept.
+/// How a request ended, with its answer if that is still kept.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
     /// The outcome.
@@ -68,46 +68,46 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer(pub Arc<[u8]>);
 
-/// A question of one router to another: may I start the request of this ticket?
+/// A request from one router to another to transfer a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransferRequest {
     /// The ticket.
     pub ticket: Ticket,
-    /// Who asks.
+    /// The router that asks for the ticket.
     #[serde(rename = "by")]
     pub requester: Holder,
-    /// Who is asked: the issuer, or whom the ticket went to.
+    /// The router that is asked: the issuer, or the one to which the ticket was transferred.
     #[serde(rename = "of")]
     pub holder: Holder,
-    /// How often the ticket had changed hands when it came to `of`.
+    /// Number of transfers up to `holder`.
     pub hop: u32,
 }
 
-/// The answer to a [`TransferRequest`].
+/// The reply to a [`TransferRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TransferReply {
-    /// The ticket is now held by the asker, and by nobody else.
+    /// The ticket is now held by the requester, and by no other router.
     #[serde(rename = "Yours")]
     Transferred {
-        /// The asker it was given to.
+        /// The requester that holds it now.
         to: Holder,
-        /// How often it has changed hands.
+        /// Number of transfers, including this one.
         hop: u32,
     },
-    /// It went to another router before.
+    /// The ticket was transferred to another router before.
     Moved {
-        /// Who got it.
+        /// The router that got it.
         to: Holder,
-        /// How often it had changed hands then.
+        /// Number of transfers, including that one.
         hop: u32,
     },
-    /// The request runs, or is about to.
+    /// The request is running or about to start.
     Running,
     /// The request has ended.
     Done(Record),
-    /// It never ran and never will.
+    /// The request never ran and never will.
     Expired,
-    /// The router asked does not remember.
+    /// The router that was asked has no record of the ticket.
     #[serde(rename = "Gone")]
     Unknown,
 }
--- a/crates/policy/src/tickets/mod.rs
+++ b/crates/policy/src/tickets/mod.rs
@@ -1,9 +1,9 @@
-//! At most once for requests that are not idempotent.
+//! At-most-once execution of requests that are not idempotent.
 //!
-//! A ticket is held by one start of one router at any moment: first by the one that issued
-//! it. Only its holder may start the request. Another router that gets the request asks the
-//! holder, which gives the ticket away if it is unused. Nothing here depends on clocks
-//! agreeing, or on messages arriving once, in order or at all.
+//! At any moment, one incarnation of one router holds a ticket, at first the one that issued
+//! it. Only the holder may start the request. Another router that gets the request asks the
+//! holder, which transfers the ticket if it is unused. This requires neither synchronized
+//! clocks nor messages that arrive exactly once, in order or at all.
 
 mod answers;
 mod entry;
--- a/crates/policy/src/tickets/table.rs
+++ b/crates/policy/src/tickets/table.rs
@@ -1,4 +1,4 @@
-//! The tickets that one start of a router knows of.
+//! The table of tickets of one router incarnation.
 
 use {
     super::{
@@ -28,14 +28,14 @@
     },
 };
 
-/// How long and how much is remembered.
+/// How long tickets, outcomes and answers are kept, and how much of the answers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RetentionLimits {
-    /// How long a ticket may be used after it was issued, or after it came here.
+    /// How long a ticket is valid after it was issued or transferred here.
     pub ticket_ttl: Span,
-    /// How long its outcome is kept beyond that.
+    /// How long its outcome is kept after that.
     pub outcome_ttl: Span,
-    /// How many bytes of recorded answers are kept.
+    /// The maximum total size of the recorded answers, in bytes.
     pub answer_bytes: usize,
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// The tickets that one start of a router issued, holds, used or gave away.
+/// The tickets that one router incarnation issued, holds, used or transferred.
 ///
 /// # Examples
 ///
@@ -75,25 +75,25 @@
     pub(super) entries: HashMap<Ticket, Entry>,
 }
 
-/// How many tickets are in which state, for the dump and metrics.
+/// The number of tickets in each state, for the dump and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Counts {
-    /// Issued by this start so far.
+    /// Issued by this incarnation so far.
     pub issued: u64,
-    /// Held for others' requests, unused.
+    /// Held here and unused, with an entry.
     pub held: usize,
-    /// Running.
+    /// Whose request is running.
     pub running: usize,
-    /// Ended, with the outcome remembered.
+    /// Ended, with a recorded outcome.
     pub done: usize,
-    /// Given to other routers.
+    /// Transferred to other routers.
     pub moved: usize,
-    /// Bytes of recorded answers.
+    /// Total size of the recorded answers, in bytes.
     pub bytes: usize,
 }
 
 impl Tickets {
-    /// Makes the table of a router start that has issued nothing.
+    /// Creates the table of a router incarnation that has issued nothing.
     pub fn new(me: Holder, limits: RetentionLimits) -> Tickets {
         Tickets {
             me,
@@ -106,9 +106,9 @@
         }
     }
 
-    /// Issues `n` tickets. They cost a few bytes together until they are used.
+    /// Issues `n` tickets. Until they are used, they take a few bytes together.
     pub fn issue(&mut self, n: u32, now: Time) -> Vec<Ticket> {
-        let now = self.clock(now);
+        let now = self.advance_clock(now);
         let Holder {
             router,
             incarnation,
@@ -125,13 +125,13 @@
 
     /// Claims the ticket for a request that this router is about to start.
     ///
-    /// To keep the time short in which a duplicate is told [`Claim::Running`], claim when
-    /// the request is dispatched, not when it is queued.
+    /// Claim when the request is dispatched, not when it is queued, so that duplicates get
+    /// [`Claim::Running`] only for a short time.
     pub fn claim(&mut self, t: &Ticket, now: Time) -> Claim {
-        let now = self.clock(now);
+        let now = self.advance_clock(now);
         let me = self.me.clone();
         let Some(e) = self.entry(t) else {
-            return self.unknown(t);
+            return self.claim_without_entry(t);
         };
         match &e.state {
             State::Held if now >= e.expires => Claim::Expired,
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Records how a granted request ended, for those who ask again.
+    /// Records how a granted request ended, for repeated requests with the same ticket.
     ///
     /// [`Outcome::NotRun`] is the same as [`Tickets::release`]. A later answer replaces
     /// [`Outcome::MayHaveRun`]; any other second call is ignored.
@@ -168,7 +168,7 @@
         if outcome == Outcome::NotRun {
             return self.release(grant, now);
         }
-        let now = self.clock(now);
+        let now = self.advance_clock(now);
         let max = self.limits.answer_bytes / 4;
         let answer = answer.filter(|a| a.len() <= max).map(Answer);
         let Some(e) = self.entries.get_mut(&grant.ticket) else {
@@ -184,18 +184,18 @@
         }
         let bytes = answer.as_ref().map(|a| a.0.len());
         e.state = State::Done(Record { outcome, answer });
-        e.until = e.expires.max(now) + self.limits.outcome_ttl;
+        e.keep_until = e.expires.max(now) + self.limits.outcome_ttl;
         if let Some(n) = bytes {
-            self.record(&grant.ticket, n);
+            self.track_answer(&grant.ticket, n);
         }
     }
 
-    /// Gives a grant back: no byte of the request was written to an endpoint.
+    /// Releases a grant of which no byte of the request was written to an endpoint.
     ///
-    /// The ticket may be used again, here or by a router that asks. A grant that was given
-    /// back or finished before changes nothing, so it can't free a later attempt's ticket.
+    /// The ticket may be used again, here or by a router that asks for it. A grant that was
+    /// released or finished before has no effect, so it can't release a later attempt.
     pub fn release(&mut self, grant: &Grant, now: Time) {
-        self.clock(now);
+        self.advance_clock(now);
         let Some(e) = self.entries.get_mut(&grant.ticket) else {
             return;
         };
@@ -204,24 +204,24 @@
         }
     }
 
-    /// Drops what need not be remembered any longer; call it every second or so.
+    /// Removes expired entries; should be called about once a second.
     pub fn tick(&mut self, now: Time) {
-        let now = self.clock(now);
+        let now = self.advance_clock(now);
         let Holder {
             router,
             incarnation,
         } = &self.me;
-        if let Some(first) = self.issued.retire(now - self.limits.outcome_ttl) {
+        if let Some(first) = self.issued.remove_expired(now - self.limits.outcome_ttl) {
             self.floors.raise(router, *incarnation, first);
         }
         let floors = &mut self.floors;
         let before = self.entries.len();
         self.entries.retain(|t, e| {
-            let stays = matches!(e.state, State::Running) || now < e.until;
-            if !stays {
+            let keep = matches!(e.state, State::Running) || now < e.keep_until;
+            if !keep {
                 floors.raise(&t.router, t.incarnation, t.number + 1);
             }
-            stays
+            keep
         });
         if self.entries.len() != before {
             let entries = &self.entries;
@@ -247,16 +247,16 @@
         c
     }
 
-    /// Returns the latest time seen. Callers on several threads may pass one that is a
-    /// little older; a ticket once called expired must stay so.
-    pub(super) fn clock(&mut self, now: Time) -> Time {
+    /// Advances the clock to `now` unless that is earlier, and returns it. Callers on several
+    /// threads may pass a slightly earlier time, but an expired ticket must stay expired.
+    pub(super) fn advance_clock(&mut self, now: Time) -> Time {
         self.now = self.now.max(now);
         self.now
     }
 
-    /// What a request comes to whose ticket has no entry here.
-    fn unknown(&self, t: &Ticket) -> Claim {
-        if t.router == self.me.router || self.floors.below(t) {
+    /// Returns the claim of a ticket that has no entry here.
+    fn claim_without_entry(&self, t: &Ticket) -> Claim {
+        if t.router == self.me.router || self.floors.is_below(t) {
             return Claim::Unknown;
         }
         Claim::AskHolder(TransferRequest {
@@ -267,10 +267,10 @@
         })
     }
 
-    /// Finds the entry of a ticket, making one for an own ticket just issued.
+    /// Returns the entry of a ticket; creates it for a ticket that this incarnation issued.
     pub(super) fn entry(&mut self, t: &Ticket) -> Option<&mut Entry> {
-        let own = t.issuer() == self.me;
-        if own && !self.entries.contains_key(t) && !self.floors.below(t) {
+        let local = t.issuer() == self.me;
+        if local && !self.entries.contains_key(t) && !self.floors.is_below(t) {
             let expires = self.issued.expires(t.number)?;
             self.insert(t, 0, expires);
         }
@@ -283,17 +283,18 @@
             hop,
             attempt: 0,
             expires,
-            until: expires + self.limits.outcome_ttl,
+            keep_until: expires + self.limits.outcome_ttl,
         };
         self.entries.insert(t.clone(), e);
     }
 
-    fn record(&mut self, t: &Ticket, bytes: usize) {
-        for old in self.answers.push(t, bytes) {
+    /// Adds an answer to the eviction order, and drops the answers that are evicted.
+    fn track_answer(&mut self, t: &Ticket, bytes: usize) {
+        for evicted in self.answers.push(t, bytes) {
             if let Some(Entry {
                 state: State::Done(r),
                 ..
-            }) = self.entries.get_mut(&old)
+            }) = self.entries.get_mut(&evicted)
             {
                 r.answer = None;
             }
--- a/crates/policy/src/tickets/ticket.rs
+++ b/crates/policy/src/tickets/ticket.rs
@@ -1,4 +1,4 @@
-//! The ticket, who holds it, and its text form.
+//! The ticket, its holder, and its text form.
 
 use {
     crate::{
@@ -34,37 +34,37 @@
 pub struct Ticket {
     /// The router that issued it.
     pub router: RouterId,
-    /// The start of that router that issued it.
+    /// The incarnation of that router.
     pub incarnation: Incarnation,
-    /// Its number among the tickets of that start.
+    /// Its number among the tickets of that incarnation.
     pub number: u64,
 }
 
-/// One start of one router, as the holder of a ticket.
+/// One incarnation of a router, as the holder of a ticket.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Holder {
     /// The router.
     pub router: RouterId,
-    /// Which start of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
 }
 
-/// Why a text is no ticket.
+/// An error in the text form of a ticket.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum TicketError {
-    /// It has not three parts.
+    /// The text does not have three parts.
     #[error("`{0}` is no ticket; send one as given by the address answer, `ROUTER/START/NUMBER`")]
     Shape(String),
-    /// The router's name is not accepted.
+    /// The router's name is invalid.
     #[error("the ticket's router is no name: {0}; send the ticket as it was given")]
     Router(#[from] IdError),
-    /// One of the numbers is not accepted.
+    /// The incarnation or the number is invalid.
     #[error("the ticket's numbers are wrong: {0}; send the ticket as it was given")]
     Number(#[from] ParseIntError),
 }
 
 impl Ticket {
-    /// Returns the router start that issued it.
+    /// Returns the router incarnation that issued it.
     pub fn issuer(&self) -> Holder {
         Holder {
             router: self.router.clone(),
@@ -90,14 +90,14 @@
 
     fn from_str(s: &str) -> Result<Ticket, TicketError> {
         let mut parts = s.split('/');
-        let (Some(router), Some(start), Some(number), None) =
+        let (Some(router), Some(incarnation), Some(number), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
             return Err(TicketError::Shape(s.to_owned()));
         };
         Ok(Ticket {
             router: router.parse()?,
-            incarnation: start.parse()?,
+            incarnation: incarnation.parse()?,
             number: number.parse()?,
         })
     }
--- a/crates/policy/src/tickets/transfer.rs
+++ b/crates/policy/src/tickets/transfer.rs
@@ -1,4 +1,4 @@
-//! How tickets change hands between routers.
+//! Transfer of tickets between routers.
 
 use {
     super::{
@@ -13,22 +13,23 @@
 };
 
 impl Tickets {
-    /// Takes the reply to a [`TransferRequest`] and returns what it means for the request.
+    /// Applies the reply to a [`TransferRequest`] and returns the resulting claim.
     ///
-    /// A reply may come late, twice or never. [`Claim::AskHolder`] names whom to ask next.
+    /// A reply may be delayed, duplicated or lost. [`Claim::AskHolder`] names the router to ask
+    /// next.
     pub fn apply_reply(&mut self, t: &Ticket, reply: TransferReply, now: Time) -> Claim {
         match reply {
             TransferReply::Transferred { to, hop } if to == self.me => {
-                self.adopt(t, hop, now);
+                self.accept_transfer(t, hop, now);
                 self.claim(t, now)
             }
-            // The reply is for an earlier start of this router, which may have used it.
+            // The reply is for an earlier incarnation of this router, which may have used it.
             TransferReply::Transferred { .. } => Claim::Unknown,
             TransferReply::Moved { to, .. } if to.router == self.me.router && to != self.me => {
                 Claim::Unknown
             }
             TransferReply::Moved { to, hop } if to == self.me => {
-                self.adopt(t, hop, now);
+                self.accept_transfer(t, hop, now);
                 self.claim(t, now)
             }
             TransferReply::Moved { to, hop } => Claim::AskHolder(TransferRequest {
@@ -44,18 +45,18 @@
         }
     }
 
-    /// Answers another router's [`TransferRequest`]: gives the ticket away if it is unused.
+    /// Answers another router's [`TransferRequest`]: transfers the ticket if it is unused.
     ///
-    /// The same asker gets the same reply however often its question arrives.
+    /// The same requester gets the same reply however often its request arrives.
     pub fn answer_transfer(&mut self, request: &TransferRequest, now: Time) -> TransferReply {
-        let now = self.clock(now);
+        let now = self.advance_clock(now);
         let t = &request.ticket;
         if request.holder != self.me || request.requester == self.me {
             return TransferReply::Unknown;
         }
-        // Whoever names this start as the holder has it from the router that gave the
-        // ticket here, though the reply that said so may have been lost on its way.
-        self.adopt(t, request.hop, now);
+        // A requester that names this incarnation as the holder learned that from the router
+        // that transferred the ticket here, even if the reply to this router was lost.
+        self.accept_transfer(t, request.hop, now);
         let Some(e) = self.entry(t) else {
             return TransferReply::Unknown;
         };
@@ -82,23 +83,23 @@
         }
     }
 
-    /// Notes that the ticket came here by its `hop`th change of hands.
-    fn adopt(&mut self, t: &Ticket, hop: u32, now: Time) {
-        // A doubled reply arrives when the ticket was passed on, or used and forgotten. It
-        // would make two holders, shown by two starts. Each change of hands has a higher
-        // number, and what is forgotten is below the floor.
+    /// Records that the ticket came here by its `hop`th transfer.
+    fn accept_transfer(&mut self, t: &Ticket, hop: u32, now: Time) {
+        // A duplicate reply may arrive after the ticket was transferred on, or was used and its
+        // entry removed. Accepting it would make two holders, and the request would run twice.
+        // Each transfer therefore has a higher number, and removed entries are below the floor.
         if hop == 0 {
             return;
         }
-        let now = self.clock(now);
+        let now = self.advance_clock(now);
         let expires = now + self.limits.ticket_ttl;
         match self.entries.get_mut(t) {
-            None if t.issuer() == self.me || self.floors.below(t) => {}
+            None if t.issuer() == self.me || self.floors.is_below(t) => {}
             None => self.insert(t, hop, expires),
             Some(e) if hop > e.hop && matches!(e.state, State::Moved(_)) => {
                 e.state = State::Held;
                 e.hop = hop;
-                e.until = e.until.max(expires + self.limits.outcome_ttl);
+                e.keep_until = e.keep_until.max(expires + self.limits.outcome_ttl);
             }
             Some(_) => {}
         }
