--- a/crates/policy/tests/tickets/stories.rs
+++ b/crates/policy/tests/tickets/failures.rs
@@ -1,4 +1,4 @@
-//! Single failures, each with its story.
+//! One test for each kind of failure.
 
 use {
     policy::{
@@ -37,7 +37,7 @@
     Time(0) + Span::secs(s)
 }
 
-fn ask(claim: Claim) -> TransferRequest {
+fn transfer_request(claim: Claim) -> TransferRequest {
     match claim {
         Claim::AskHolder(request) => request,
         other => panic!("{other:?}"),
@@ -71,104 +71,105 @@
 }
 
 #[test]
-fn asked_twice_by_two_routers() {
-    // A caller's connection goes silent, so it sends its renewal again to two other routers.
-    // Both ask the issuer at once. Were both told yes, the registry would hold it twice.
+fn transfer_requested_by_two_routers() {
+    // A caller's connection goes silent, and it retries a renewal at two other routers. Both ask
+    // the issuer at once. If both got the ticket, the renewal would be registered twice.
     let (mut a, mut b, mut c) = (table("a", 1), table("b", 1), table("c", 1));
     let t = a.issue(1, at(0)).remove(0);
-    let from_b = ask(b.claim(&t, at(1)));
-    let from_c = ask(c.claim(&t, at(1)));
+    let from_b = transfer_request(b.claim(&t, at(1)));
+    let from_c = transfer_request(c.claim(&t, at(1)));
     let to_b = a.answer_transfer(&from_b, at(1));
     let to_c = a.answer_transfer(&from_c, at(1));
     assert!(matches!(b.apply_reply(&t, to_b, at(1)), Claim::Granted(_)));
-    let next = ask(c.apply_reply(&t, to_c, at(1)));
+    let next = transfer_request(c.apply_reply(&t, to_c, at(1)));
     assert_eq!(next.holder, holder("b", 1));
     let to_c = b.answer_transfer(&next, at(1));
     assert_eq!(c.apply_reply(&t, to_c, at(1)), Claim::Running);
 }
 
 #[test]
-fn asked_again_after_the_reply_was_lost() {
-    // The issuer gives the ticket away and its reply is lost. The asker must get the same yes
-    // again, else nobody could run the request any more.
+fn transfer_requested_again_after_lost_reply() {
+    // The issuer transfers the ticket and its reply is lost. The requester must get the same
+    // reply again, or no router could run the request any more.
     let (mut a, mut b) = (table("a", 1), table("b", 1));
     let t = a.issue(1, at(0)).remove(0);
-    let question = ask(b.claim(&t, at(1)));
-    let lost = a.answer_transfer(&question, at(1));
-    assert_eq!(a.answer_transfer(&question, at(2)), lost);
+    let request = transfer_request(b.claim(&t, at(1)));
+    let lost_reply = a.answer_transfer(&request, at(1));
+    assert_eq!(a.answer_transfer(&request, at(2)), lost_reply);
     assert!(matches!(
-        b.apply_reply(&t, lost.clone(), at(2)),
+        b.apply_reply(&t, lost_reply.clone(), at(2)),
         Claim::Granted(_)
     ));
-    assert_eq!(b.apply_reply(&t, lost, at(3)), Claim::Running);
+    assert_eq!(b.apply_reply(&t, lost_reply, at(3)), Claim::Running);
 }
 
 #[test]
-fn asked_for_a_ticket_whose_new_holder_never_heard_of_it() {
-    // The reply to b is lost for good and the caller goes on to c. The issuer sends c to b,
-    // which has never used the ticket and can pass it on.
+fn transfer_from_a_holder_that_missed_the_reply() {
+    // The reply to b is delayed and the caller retries at c. The issuer redirects c to b, which
+    // has never used the ticket and can transfer it.
     let (mut a, mut b, mut c) = (table("a", 1), table("b", 1), table("c", 1));
     let t = a.issue(1, at(0)).remove(0);
-    let late = a.answer_transfer(&ask(b.claim(&t, at(1))), at(1));
-    let to_c = a.answer_transfer(&ask(c.claim(&t, at(2))), at(2));
-    let to_c = b.answer_transfer(&ask(c.apply_reply(&t, to_c, at(2))), at(2));
+    let late_reply = a.answer_transfer(&transfer_request(b.claim(&t, at(1))), at(1));
+    let to_c = a.answer_transfer(&transfer_request(c.claim(&t, at(2))), at(2));
+    let to_c = b.answer_transfer(&transfer_request(c.apply_reply(&t, to_c, at(2))), at(2));
     assert!(matches!(c.apply_reply(&t, to_c, at(2)), Claim::Granted(_)));
-    let question = ask(b.apply_reply(&t, late, at(3)));
+    let request = transfer_request(b.apply_reply(&t, late_reply, at(3)));
     assert_eq!(
-        question.holder,
+        request.holder,
         holder("c", 1),
-        "the late yes to b must not count"
+        "the delayed reply to b must not count"
     );
 }
 
 #[test]
 fn claim_after_the_issuer_restarted() {
-    // The issuer is killed while the request runs and comes back empty. It can't know, so it
-    // must not call the request "not run".
+    // The issuer is killed while the request runs and restarts without any state. As it can't
+    // know whether the request ran, it must not report it as not run.
     let mut a = table("a", 1);
     let t = a.issue(1, at(0)).remove(0);
     assert!(matches!(a.claim(&t, at(0)), Claim::Granted(_)));
-    let (mut again, mut b) = (table("a", 2), table("b", 1));
-    assert_eq!(again.claim(&t, at(1)), Claim::Unknown);
-    let reply = again.answer_transfer(&ask(b.claim(&t, at(1))), at(1));
+    let (mut restarted, mut b) = (table("a", 2), table("b", 1));
+    assert_eq!(restarted.claim(&t, at(1)), Claim::Unknown);
+    let reply = restarted.answer_transfer(&transfer_request(b.claim(&t, at(1))), at(1));
     assert_eq!(b.apply_reply(&t, reply, at(1)), Claim::Unknown);
 }
 
 #[test]
-fn answered_to_a_router_that_restarted_meanwhile() {
-    // b asks, is killed and starts again; the yes to its first start arrives at the second.
-    // The first may have used an earlier copy of it.
+fn reply_to_an_earlier_incarnation() {
+    // b asks for the ticket, is killed and restarts; the reply to its first incarnation arrives
+    // at the second. The first one may have used an earlier copy of the reply.
     let (mut a, mut b) = (table("a", 1), table("b", 1));
     let t = a.issue(1, at(0)).remove(0);
-    let reply = a.answer_transfer(&ask(b.claim(&t, at(1))), at(1));
-    let mut again = table("b", 2);
-    assert_eq!(again.apply_reply(&t, reply, at(2)), Claim::Unknown);
-    let reply = a.answer_transfer(&ask(again.claim(&t, at(3))), at(3));
-    assert_eq!(again.apply_reply(&t, reply, at(3)), Claim::Unknown);
+    let reply = a.answer_transfer(&transfer_request(b.claim(&t, at(1))), at(1));
+    let mut restarted = table("b", 2);
+    assert_eq!(restarted.apply_reply(&t, reply, at(2)), Claim::Unknown);
+    let reply = a.answer_transfer(&transfer_request(restarted.claim(&t, at(3))), at(3));
+    assert_eq!(restarted.apply_reply(&t, reply, at(3)), Claim::Unknown);
 }
 
 #[test]
-fn answered_late_when_the_use_is_forgotten() {
-    // b runs the request and drops its record when the ticket is old. A doubled yes, held up
-    // somewhere, arrives only then, while a frozen issuer still takes the ticket for young.
+fn delayed_reply_after_the_entry_was_removed() {
+    // b runs the request and removes its entry when the ticket has expired. A duplicate of the
+    // reply is delayed and arrives only then, while the ticket is still valid for a frozen
+    // issuer.
     let (mut a, mut b) = (table("a", 1), table("b", 1));
     let t = a.issue(1, at(0)).remove(0);
-    let yes = a.answer_transfer(&ask(b.claim(&t, at(1))), at(1));
-    let Claim::Granted(grant) = b.apply_reply(&t, yes.clone(), at(1)) else {
+    let reply = a.answer_transfer(&transfer_request(b.claim(&t, at(1))), at(1));
+    let Claim::Granted(grant) = b.apply_reply(&t, reply.clone(), at(1)) else {
         panic!("granted");
     };
     b.finish(&grant, Outcome::Answered, None, at(2));
     b.tick(at(3600));
     assert_eq!(b.counts().done, 0);
-    assert_eq!(b.apply_reply(&t, yes, at(3600)), Claim::Unknown);
+    assert_eq!(b.apply_reply(&t, reply, at(3600)), Claim::Unknown);
     assert_eq!(b.claim(&t, at(3600)), Claim::Unknown);
 }
 
 #[test]
-fn unstarted_and_a_duplicate_at_the_same_time() {
-    // Two copies of a request wait at one router. The first is refused before any byte went
-    // out. Its ticket is free again for the second, but giving it back twice must not free it
-    // from under the second, which then runs.
+fn release_with_a_concurrent_duplicate() {
+    // Two copies of a request wait at one router. The first is rejected before any byte is
+    // written. Its ticket is released and granted to the second; a repeated release by the first
+    // must not release the grant of the second, which is running.
     let mut a = table("a", 1);
     let t = a.issue(1, at(0)).remove(0);
     let Claim::Granted(first) = a.claim(&t, at(1)) else {
@@ -192,18 +193,15 @@
 
 #[test]
 fn claim_of_an_expired_ticket() {
-    // The issuer is stopped for longer than a ticket lives, and wakes up to a request with it.
-    // "Not run" is true of an unused one, and must stay so, also for a thread that read the
-    // clock a little earlier.
+    // The issuer is stopped for longer than a ticket is valid, and gets a request with it when it
+    // resumes. An unused ticket has not run, and must stay expired, also for a thread that read
+    // the clock slightly earlier.
     let mut a = table("a", 1);
     let t = a.issue(1, at(0)).remove(0);
     assert_eq!(a.claim(&t, at(200)), Claim::Expired);
     assert_eq!(a.claim(&t, at(100)), Claim::Expired);
-    let question = ask(table("b", 1).claim(&t, at(0)));
-    assert_eq!(
-        a.answer_transfer(&question, at(200)),
-        TransferReply::Expired
-    );
+    let request = transfer_request(table("b", 1).claim(&t, at(0)));
+    assert_eq!(a.answer_transfer(&request, at(200)), TransferReply::Expired);
     a.tick(at(3600));
     assert_eq!(a.claim(&t, at(3600)), Claim::Unknown);
 }
--- a/crates/policy/tests/tickets/main.rs
+++ b/crates/policy/tests/tickets/main.rs
@@ -1,8 +1,8 @@
-//! At most once: a fuzz against an oracle, and the stories of single failures.
+//! Tests of at-most-once execution: a fuzz test against an oracle, and single failures.
 
+mod failures;
 #[path = "../seeded/mod.rs"]
 mod seeded;
-mod stories;
 mod world;
 
 use {
@@ -25,7 +25,7 @@
     },
 };
 
-/// Makes any step at any time; [`World`] skips those that can't be done.
+/// Generates any step at any time; [`World`] skips those that are impossible.
 pub struct Steps;
 
 impl ReferenceStateMachine for Steps {
@@ -49,11 +49,11 @@
             12 => (i(), i()).prop_map(|(message, to)| Step::Deliver { message, to }),
             2 => i().prop_map(|message| Step::Lose { message }),
             4 => i().prop_map(|grant| Step::Start { grant }),
-            3 => i().prop_map(|grant| Step::Refuse { grant }),
-            1 => i().prop_map(|grant| Step::Again { grant }),
+            3 => i().prop_map(|grant| Step::Release { grant }),
+            1 => i().prop_map(|grant| Step::ReleaseAgain { grant }),
             2 => (i(), outcome).prop_map(|(grant, outcome)| Step::Finish { grant, outcome }),
             1 => (i(), any::<bool>()).prop_map(|(at, killed)| Step::Restart { at, killed }),
-            2 => (i(), 1..15u64).prop_map(|(at, s)| Step::Pass { at, time: Span::secs(s) }),
+            2 => (i(), 1..15u64).prop_map(|(at, s)| Step::AdvanceClock { at, time: Span::secs(s) }),
             2 => i().prop_map(|at| Step::Tick { at }),
         ]
         .boxed()
--- a/crates/policy/tests/tickets/world.rs
+++ b/crates/policy/tests/tickets/world.rs
@@ -1,4 +1,5 @@
-//! Several routers' tickets, the messages between them, and an oracle that sees the whole.
+//! The ticket tables of several routers, the messages between them, and an oracle that sees
+//! all of them.
 
 use {
     policy::{
@@ -24,7 +25,7 @@
     },
 };
 
-/// What may happen next. An index picks one of what there is then.
+/// A step of the simulation. Each index selects one of the objects that exist at that time.
 #[derive(Debug, Clone)]
 pub enum Step {
     Issue {
@@ -35,7 +36,7 @@
         at: Index,
         ticket: Index,
     },
-    /// A question or a reply arrives, and stays on the wire to arrive again.
+    /// A request or a reply arrives, and stays on the wire so that it may arrive again.
     Deliver {
         message: Index,
         to: Index,
@@ -47,24 +48,24 @@
     Start {
         grant: Index,
     },
-    Refuse {
+    Release {
         grant: Index,
     },
-    /// A grant that was given back or finished is given back once more.
-    Again {
+    /// A grant that was released or finished is released once more.
+    ReleaseAgain {
         grant: Index,
     },
     Finish {
         grant: Index,
         outcome: Outcome,
     },
-    /// A new start of a router. The old process may be dead, or only paused.
+    /// A router restarts. The old process may be dead, or only paused.
     Restart {
         at: Index,
         killed: bool,
     },
-    /// One process's clock goes on; the others' may stand still.
-    Pass {
+    /// The clock of one process advances; those of the others may stand still.
+    AdvanceClock {
         at: Index,
         time: Span,
     },
@@ -92,18 +93,18 @@
 }
 
 #[derive(Debug)]
-struct Open {
+struct OpenGrant {
     process: usize,
     grant: Grant,
     started: bool,
 }
 
-/// What truly happened to a ticket.
+/// What actually happened to a ticket.
 #[derive(Debug, Default)]
-struct Truth {
+struct History {
     starts: u32,
     outcomes: Vec<Outcome>,
-    never: bool,
+    reported_expired: bool,
 }
 
 /// Three routers, and more processes as they restart.
@@ -112,10 +113,10 @@
     processes: Vec<Process>,
     wire: Vec<Message>,
     known: Vec<Ticket>,
-    open: Vec<Open>,
+    open: Vec<OpenGrant>,
     /// Grants that have ended.
-    stale: Vec<Open>,
-    truth: HashMap<Ticket, Truth>,
+    ended: Vec<OpenGrant>,
+    history: HashMap<Ticket, History>,
 }
 
 fn process(router: usize, incarnation: u64) -> Process {
@@ -147,8 +148,8 @@
             wire: Vec::new(),
             known: Vec::new(),
             open: Vec::new(),
-            stale: Vec::new(),
-            truth: HashMap::new(),
+            ended: Vec::new(),
+            history: HashMap::new(),
         }
     }
 
@@ -167,7 +168,7 @@
                 let (t, p) = (self.known[t].clone(), self.alive(at));
                 let now = self.processes[p].now;
                 let claim = self.processes[p].tickets.claim(&t, now);
-                self.told(p, &t, claim);
+                self.check_claim(p, &t, claim);
             }
             Step::Deliver { message, to } => self.deliver(message, to),
             Step::Lose { message } => {
@@ -176,17 +177,17 @@
                 }
             }
             Step::Start { grant } => self.start(grant),
-            Step::Refuse { grant } => self.refuse(grant),
-            Step::Again { grant } => {
-                if let Some(i) = pick(grant, self.stale.len()) {
-                    let Open { process, grant, .. } = &self.stale[i];
+            Step::Release { grant } => self.release(grant),
+            Step::ReleaseAgain { grant } => {
+                if let Some(i) = pick(grant, self.ended.len()) {
+                    let OpenGrant { process, grant, .. } = &self.ended[i];
                     let p = &mut self.processes[*process];
                     p.tickets.release(grant, p.now);
                 }
             }
             Step::Finish { grant, outcome } => self.finish(grant, *outcome),
             Step::Restart { at, killed } => self.restart(at, *killed),
-            Step::Pass { at, time } => {
+            Step::AdvanceClock { at, time } => {
                 let p = self.alive(at);
                 self.processes[p].now += *time;
             }
@@ -205,19 +206,22 @@
         alive[i.index(alive.len())]
     }
 
-    /// Checks what a router tells about a ticket against the truth.
-    fn told(&mut self, p: usize, t: &Ticket, claim: Claim) {
-        let truth = self.truth.entry(t.clone()).or_default();
+    /// Checks a claim against what actually happened to the ticket.
+    fn check_claim(&mut self, p: usize, t: &Ticket, claim: Claim) {
+        let history = self.history.entry(t.clone()).or_default();
         match claim {
             Claim::Granted(grant) => {
-                assert!(!truth.never, "{t} was called expired and is granted");
-                assert_eq!(truth.starts, 0, "{t} is granted and ran before");
+                assert!(
+                    !history.reported_expired,
+                    "{t} was reported as expired and is granted"
+                );
+                assert_eq!(history.starts, 0, "{t} is granted and ran before");
                 let open = self
                     .open
                     .iter()
                     .any(|o| o.grant.ticket() == t && !self.processes[o.process].dead);
                 assert!(!open, "{t} is granted twice at once");
-                self.open.push(Open {
+                self.open.push(OpenGrant {
                     process: p,
                     grant,
                     started: false,
@@ -225,12 +229,12 @@
             }
             Claim::AskHolder(request) => self.wire.push(Message::Request(request)),
             Claim::Done(record) => {
-                assert_eq!(truth.starts, 1, "{t} is called done and never ran");
-                assert!(truth.outcomes.contains(&record.outcome));
+                assert_eq!(history.starts, 1, "{t} is reported as done and never ran");
+                assert!(history.outcomes.contains(&record.outcome));
             }
             Claim::Expired => {
-                assert_eq!(truth.starts, 0, "{t} is called expired and ran");
-                truth.never = true;
+                assert_eq!(history.starts, 0, "{t} is reported as expired and ran");
+                history.reported_expired = true;
             }
             Claim::Running | Claim::Unknown => {}
         }
@@ -245,7 +249,7 @@
             Message::Request(request) => &request.holder.router,
             Message::Reply { to, .. } => &to.router,
         };
-        // An old process that was only paused may get it as well as the present one.
+        // An old process that was only paused may receive it, as may the present one.
         let there: Vec<usize> = (0..self.processes.len())
             .filter(|p| !self.processes[*p].dead && self.processes[*p].holder.router == *router)
             .collect();
@@ -264,7 +268,7 @@
             }
             Message::Reply { ticket, reply, .. } => {
                 let claim = tickets.apply_reply(&ticket, reply, *now);
-                self.told(p, &ticket, claim);
+                self.check_claim(p, &ticket, claim);
             }
         }
     }
@@ -279,13 +283,16 @@
         }
         open.started = true;
         let t = open.grant.ticket();
-        let truth = self.truth.entry(t.clone()).or_default();
-        truth.starts += 1;
-        assert_eq!(truth.starts, 1, "{t} was started twice");
-        assert!(!truth.never, "{t} was called expired and starts");
+        let history = self.history.entry(t.clone()).or_default();
+        history.starts += 1;
+        assert_eq!(history.starts, 1, "{t} was started twice");
+        assert!(
+            !history.reported_expired,
+            "{t} was reported as expired and starts"
+        );
     }
 
-    fn refuse(&mut self, grant: &Index) {
+    fn release(&mut self, grant: &Index) {
         let Some(i) = pick(grant, self.open.len()) else {
             return;
         };
@@ -294,10 +301,10 @@
         if p.dead || open.started {
             return;
         }
-        assert_eq!(self.truth[open.grant.ticket()].starts, 0);
+        assert_eq!(self.history[open.grant.ticket()].starts, 0);
         p.tickets.release(&open.grant, p.now);
         let open = self.open.remove(i);
-        self.stale.push(open);
+        self.ended.push(open);
     }
 
     fn finish(&mut self, grant: &Index, outcome: Outcome) {
@@ -309,13 +316,13 @@
         if p.dead || !open.started {
             return;
         }
-        let truth = self.truth.get_mut(open.grant.ticket()).unwrap();
-        truth.outcomes.push(outcome);
+        let history = self.history.get_mut(open.grant.ticket()).unwrap();
+        history.outcomes.push(outcome);
         let answer = Some(Arc::from(vec![1u8; 12]));
         p.tickets.finish(&open.grant, outcome, answer, p.now);
         if outcome != Outcome::MayHaveRun {
             let open = self.open.remove(i);
-            self.stale.push(open);
+            self.ended.push(open);
         }
     }
 
