--- a/crates/policy/src/shares/account.rs
+++ b/crates/policy/src/shares/account.rs
@@ -9,17 +9,17 @@
     std::collections::BTreeMap,
 };
 
-/// What one start of a router counted.
+/// The service that one router incarnation has counted for a workspace.
 ///
-/// Only its writer changes it, so that the latest revision is the truth, and the order
-/// and number of messages do not matter.
+/// Only its writer changes it. The highest revision is therefore always correct, whatever the
+/// order of messages and however often each arrives.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct RouterCount {
     /// The writer's revision of this count; a later one replaces it.
     pub(crate) rev: u64,
     /// Service charged so far, in thousandths of a unit. Corrections may lower it.
     pub(crate) charged: i64,
-    /// Whether requests of the workspace wait there.
+    /// Whether requests of the workspace are queued there.
     pub(crate) backlogged: bool,
 }
 
@@ -30,25 +30,25 @@
     pub(crate) counts: BTreeMap<Writer, RouterCount>,
     /// Sum of the counts.
     sum: i64,
-    /// Normalised service added on becoming backlogged; it only grows.
+    /// Normalized service added when the workspace became backlogged; it only grows.
     pub(crate) catch_up: i64,
-    /// Normalised service forgiven; it only grows.
+    /// Normalized service forgiven; it only grows.
     pub(crate) forgiven: i64,
     /// When it last changed.
     pub(crate) touched: Time,
     /// Revision of this router's last change here.
     pub(crate) rev: u64,
-    /// Revision of this router's last catch_up or forgiveness here.
+    /// Revision of this router's last change of `catch_up` or `forgiven`.
     pub(crate) shifted: u64,
 }
 
 impl Account {
-    /// Returns normalised service in thousandths of a unit.
+    /// Returns the virtual time: service divided by the share, in thousandths of a unit.
     pub(crate) fn virtual_time(&self, share: Share) -> i64 {
         (self.sum as f64 / share.get()) as i64 + self.catch_up - self.forgiven
     }
 
-    /// Lifts, or forgives below zero.
+    /// Moves the virtual time forward, or below zero, forgives service.
     pub(crate) fn shift(&mut self, me: Writer, rev: u64, by: i64) {
         if by > 0 {
             self.catch_up += by;
@@ -59,41 +59,41 @@
         self.charge(me, rev, 0);
     }
 
-    /// Takes in what others lifted and forgave.
+    /// Merges the catch-up and the forgiven service that another router knows.
     pub(crate) fn merge_shifts(&mut self, catch_up: i64, forgiven: i64) {
         self.catch_up = self.catch_up.max(catch_up);
         self.forgiven = self.forgiven.max(forgiven);
     }
 
-    /// Returns what one router counted.
+    /// Returns the service that one router counted.
     pub(crate) fn charged(&self, writer: Writer) -> i64 {
         self.counts.get(&writer).map_or(0, |p| p.charged)
     }
 
-    /// Charges (or, below zero, gives back) an amount to this router's count.
+    /// Adds an amount, which may be negative, to this router's count.
     pub(crate) fn charge(&mut self, me: Writer, rev: u64, milli: i64) {
-        let part = self.counts.entry(me).or_default();
-        part.charged += milli;
-        part.rev = rev;
+        let count = self.counts.entry(me).or_default();
+        count.charged += milli;
+        count.rev = rev;
         self.sum += milli;
         self.rev = rev;
     }
 
-    /// Notes whether requests wait at this router.
+    /// Sets whether requests are queued at this router.
     pub(crate) fn set_backlogged(&mut self, me: Writer, rev: u64, backlogged: bool) {
-        let part = self.counts.entry(me).or_default();
-        part.backlogged = backlogged;
-        part.rev = rev;
+        let count = self.counts.entry(me).or_default();
+        count.backlogged = backlogged;
+        count.rev = rev;
         self.rev = rev;
     }
 
-    /// Takes in another router's count unless a later one is known.
+    /// Merges another router's count unless a later one is known.
     pub(crate) fn merge(&mut self, writer: Writer, p: RouterCount) {
-        let part = self.counts.entry(writer).or_default();
-        if p.rev <= part.rev {
+        let count = self.counts.entry(writer).or_default();
+        if p.rev <= count.rev {
             return;
         }
-        self.sum += p.charged - part.charged;
-        *part = p;
+        self.sum += p.charged - count.charged;
+        *count = p;
     }
 }
--- a/crates/policy/src/shares/bound.rs
+++ b/crates/policy/src/shares/bound.rs
@@ -1,24 +1,24 @@
-//! The bound on the gap of service between two backlogged workspaces.
+//! The bound on the difference in service between two backlogged workspaces.
 
 use crate::{
     Span,
     Units, //
 };
 
-/// What the bound is made of. All amounts are normalised (divided by the share).
+/// The terms of the bound. All amounts are normalized (divided by the share).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct GapTerms {
-    /// The most that one workspace can have running that is not charged yet or was
+    /// The maximum cost of running requests of one workspace that is not charged yet, or was
     /// charged before the others caught up: slots times the largest cost.
     pub running: Units,
-    /// The most service that one workspace can receive in a second.
+    /// The maximum service that one workspace can receive in a second.
     pub rate: Units,
-    /// The longest that a charge or a slot takes to move between two routers: the
-    /// exchange interval, one way, one tick and one run.
+    /// The maximum time for a charge or a slot to move between two routers: the exchange
+    /// interval, the network delay in one direction, one tick and one run.
     pub exchange: Span,
-    /// The window of urgency.
+    /// The urgency window, within which more urgent requests may start first.
     pub window: Units,
-    /// The credit of a workspace that was idle.
+    /// The credit that a workspace keeps from idle time.
     pub credit: Units,
 }
 
--- a/crates/policy/src/shares/gossip.rs
+++ b/crates/policy/src/shares/gossip.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of their accounts.
+//! The exchange of usage updates between ledgers.
 
 use {
     super::{
@@ -17,33 +17,35 @@
     std::collections::BTreeMap,
 };
 
-/// Most counts in one message.
+/// Maximum number of counts in one message.
 const MAX_UPDATES: usize = 128;
 
 impl Ledger {
-    /// Returns whether a router has not acknowledged anything yet.
+    /// Returns whether a router has not acknowledged any revision yet.
     pub(crate) fn is_new(&self, to: Writer) -> bool {
-        self.peers.get(&to).is_some_and(|f| f.acked == 0)
+        self.peers.get(&to).is_some_and(|peer| peer.acked == 0)
     }
 
-    /// Returns whether there is anything to tell a router.
+    /// Returns whether there is anything to send to a router.
     pub(crate) fn has_updates_for(&self, to: Writer, relay: bool) -> bool {
-        let pending =
-            |f: &PeerSync| f.acked < self.rev || f.announced != f.seen || relay && f.acked == 0;
+        let pending = |peer: &PeerSync| {
+            peer.acked < self.rev || peer.announced != peer.seen || relay && peer.acked == 0
+        };
         self.peers.get(&to).is_some_and(pending)
     }
 
-    /// Returns what a router should be told, if there is anything.
+    /// Returns the next message for a router.
     ///
-    /// `relay` says whether this router is the one to tell a new one of all others.
+    /// `relay` is set if this router is the one that sends the counts of all others to a new
+    /// router.
     pub(crate) fn usage_updates(
         &mut self,
         service: u32,
         to: Writer,
         relay: bool,
     ) -> Option<UsageUpdates> {
-        let f = self.peers.get(&to)?;
-        let acked = f.acked;
+        let peer = self.peers.get(&to)?;
+        let acked = peer.acked;
         let changed = self.changes.range(acked + 1..);
         let count = changed.clone().count();
         let rev = match changed.clone().nth(MAX_UPDATES - 1) {
@@ -54,7 +56,7 @@
             .take(MAX_UPDATES)
             .map(|(_, key)| self.usage_update(*key, acked))
             .collect();
-        let others = match relay && f.acked == 0 {
+        let others = match relay && peer.acked == 0 {
             true => self.others(to),
             false => Vec::new(),
         };
@@ -63,17 +65,17 @@
             true => Vec::new(),
             false => self.accounts.iter().map(shift).collect(),
         };
-        // The receiver acknowledges a revision, so what is relayed needs one.
+        // The receiver acknowledges a revision, so relayed counts need one that is not 0.
         if rev == 0 {
             self.rev = 1;
         }
         let rev = rev.max(1);
-        let f = self.peers.get_mut(&to)?;
-        f.announced = f.seen;
+        let peer = self.peers.get_mut(&to)?;
+        peer.announced = peer.seen;
         Some(UsageUpdates {
             service,
             to: to.0 as u32,
-            seen: f.seen,
+            seen: peer.seen,
             rev,
             floor: self.floor,
             updates,
@@ -82,14 +84,15 @@
         })
     }
 
-    /// Returns this router's count of a workspace, for one that has seen it up to `acked`.
+    /// Returns this router's count of a workspace, for a peer that has seen revisions up to
+    /// `acked`.
     fn usage_update(&self, key: Key, acked: u64) -> UsageUpdate {
         let a = &self.accounts[&key];
-        let part = a.counts.get(&self.me).copied().unwrap_or_default();
+        let count = a.counts.get(&self.me).copied().unwrap_or_default();
         UsageUpdate {
             key,
-            charged: part.charged,
-            backlogged: part.backlogged,
+            charged: count.charged,
+            backlogged: count.backlogged,
             shift: (a.shifted > acked).then_some((a.catch_up, a.forgiven)),
         }
     }
@@ -111,21 +114,21 @@
         out.into_iter().collect()
     }
 
-    /// Takes in what another router tells.
+    /// Merges a message of another router.
     ///
-    /// The owner of the pool gives the debt that its workspaces may have.
-    pub(crate) fn merge(&mut self, from: Writer, n: UsageUpdates, debt: Option<i64>) {
-        let Some(f) = self.peers.get_mut(&from) else {
+    /// The owner of the pool passes the maximum debt of a workspace.
+    pub(crate) fn merge(&mut self, from: Writer, message: UsageUpdates, debt: Option<i64>) {
+        let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
-        if n.to == self.me.0 as u32 {
-            f.acked = f.acked.max(n.seen);
+        if message.to == self.me.0 as u32 {
+            peer.acked = peer.acked.max(message.seen);
         }
-        f.seen = f.seen.max(n.rev);
-        f.synced |= f.live && n.updates.len() < MAX_UPDATES;
-        self.floor = self.floor.max(n.floor);
-        for update in n.updates {
-            let waited = self
+        peer.seen = peer.seen.max(message.rev);
+        peer.synced |= peer.live && message.updates.len() < MAX_UPDATES;
+        self.floor = self.floor.max(message.floor);
+        for update in message.updates {
+            let was_backlogged = self
                 .accounts
                 .get(&update.key)
                 .is_some_and(|a| self.is_backlogged(a));
@@ -134,34 +137,34 @@
             if let Some((catch_up, forgiven)) = update.shift {
                 account.merge_shifts(catch_up, forgiven);
             }
-            let part = RouterCount {
-                rev: n.rev,
+            let count = RouterCount {
+                rev: message.rev,
                 charged: update.charged,
                 backlogged: update.backlogged,
             };
-            account.merge(from, part);
+            account.merge(from, count);
             self.update_waiting(update.key);
-            if let Some(debt) = debt.filter(|_| update.backlogged && !waited) {
+            if let Some(debt) = debt.filter(|_| update.backlogged && !was_backlogged) {
                 self.limit_lag(update.key, debt);
             }
         }
-        for (key, catch_up, forgiven) in n.shifts {
+        for (key, catch_up, forgiven) in message.shifts {
             self.accounts
                 .entry(key)
                 .or_default()
                 .merge_shifts(catch_up, forgiven);
         }
-        for (writer, list) in n.others {
+        for (writer, list) in message.others {
             if writer == self.me {
                 continue;
             }
             for r in list {
-                let part = RouterCount {
+                let count = RouterCount {
                     rev: r.rev,
                     charged: r.charged,
                     backlogged: false,
                 };
-                self.accounts.entry(r.key).or_default().merge(writer, part);
+                self.accounts.entry(r.key).or_default().merge(writer, count);
             }
         }
     }
--- a/crates/policy/src/shares/key.rs
+++ b/crates/policy/src/shares/key.rs
@@ -1,4 +1,4 @@
-//! Short keys that stand for names in memory and on the wire.
+//! Short keys that replace names in memory and on the wire.
 
 use {
     crate::{
@@ -16,15 +16,15 @@
     },
 };
 
-/// A workspace, by the hash of its name.
+/// A workspace, identified by the hash of its name.
 ///
-/// Routers need not know each other's workspaces by name, and 64 bits keep two of
-/// some thousands apart.
+/// Routers need not know each other's workspaces by name, and with 64 bits a collision among
+/// some thousands is very unlikely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Key(pub(crate) u64);
 
-/// One start of a router, which alone writes its counters.
+/// One incarnation of a router, the only writer of its counters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Writer(pub(crate) u64);
--- a/crates/policy/src/shares/ledger.rs
+++ b/crates/policy/src/shares/ledger.rs
@@ -20,35 +20,35 @@
 
 /// Thousandths in one unit.
 pub(crate) const MILLI: f64 = 1000.0;
-/// An idle workspace is forgotten after this time, give or take the time between sweeps.
+/// An idle workspace is removed after this time plus at most one sweep interval.
 const IDLE_TIMEOUT: Span = Span::secs(600);
 const SWEEP_INTERVAL: Span = Span::secs(10);
-/// What the owner told counts for this time.
+/// How long a virtual time sent by the owner of the pool is used.
 const OWNER_VIEW_TTL: Span = Span::millis(1_500);
 
-/// What another router has seen of this one's counts, and the other way round.
+/// The state of the exchange with another router.
 #[derive(Debug, Default)]
 pub(super) struct PeerSync {
-    /// Revision of this router that it has seen.
+    /// This router's revision that the peer has acknowledged.
     pub(super) acked: u64,
-    /// Its revision that was seen here.
+    /// The peer's revision that was received here.
     pub(super) seen: u64,
-    /// What it was last told to be seen.
+    /// The peer's revision that was last acknowledged to it.
     pub(super) announced: u64,
-    /// Whether it is heard from.
+    /// Whether messages of the peer arrive.
     pub(super) live: bool,
-    /// Whether its counts are known as they are since it is heard from.
+    /// Whether all of the peer's counts were received since it is live.
     ///
-    /// After a partition the counts of the far side are old. Taken for its level, they
-    /// would make its workspaces the least by far, and the others be forgiven what they
-    /// never owed.
+    /// After a partition, the counts of the other side are outdated. If they were used, its
+    /// workspaces would have by far the lowest virtual times, and the others would be forgiven
+    /// debts that they never had.
     pub(super) synced: bool,
 }
 
 /// The accounts of all workspaces at one service, as one router knows them.
 #[derive(Debug)]
 pub(crate) struct Ledger {
-    /// This start of this router.
+    /// This router's incarnation.
     pub(super) me: Writer,
     /// Counts this router's changes.
     pub(super) rev: u64,
@@ -56,17 +56,18 @@
     shares: ShareTable,
     /// The other live routers.
     pub(super) peers: BTreeMap<Writer, PeerSync>,
-    /// Level of the least backlogged workspace when there last was any.
+    /// The highest minimum of virtual times among backlogged workspaces so far.
     pub(super) floor: i64,
-    /// The workspaces that some router, live or not, last said to wait.
+    /// The workspaces that some router, live or not, last reported as backlogged.
     waiting: BTreeSet<Key>,
-    /// What the owner of the pool lately told, and when.
+    /// The virtual times without this router's count that the owner of the pool recently sent,
+    /// and when they arrived.
     owner_view: BTreeMap<Key, (Time, i64)>,
     /// This router's changes, each workspace once, by revision.
     pub(super) changes: BTreeMap<u64, Key>,
-    /// The moment as last told.
+    /// The time of the last tick.
     pub(super) now: Time,
-    /// When idle workspaces were last forgotten.
+    /// When idle workspaces were last removed.
     swept: Time,
 }
 
@@ -92,18 +93,18 @@
         self.shares = shares;
     }
 
-    /// Returns how many requests a workspace may queue, where it has a bound of its own.
+    /// Returns how many requests a workspace may queue, if it has its own limit.
     pub(crate) fn queue_limit(&self, key: Key) -> Option<usize> {
-        self.shares.queue(key)
+        self.shares.queue_limit(key)
     }
 
-    /// Sets which other routers there are, and which are heard from.
+    /// Sets the other routers, and whether each is live.
     pub(crate) fn set_peers(&mut self, live: &BTreeMap<Writer, bool>) {
         self.peers.retain(|w, _| live.contains_key(w));
         for (w, live) in live {
-            let f = self.peers.entry(*w).or_default();
-            f.synced &= f.live && *live;
-            f.live = *live;
+            let peer = self.peers.entry(*w).or_default();
+            peer.synced &= peer.live && *live;
+            peer.live = *live;
         }
     }
 
@@ -112,22 +113,22 @@
         self.shares.get(key)
     }
 
-    /// Returns normalised service in thousandths of a unit.
+    /// Returns the virtual time of a workspace, in thousandths of a unit.
     ///
-    /// What the owner of the pool told counts where it is more: it hears all routers
-    /// sooner than they hear each other.
+    /// The owner of the pool receives the updates of all routers sooner than they receive each
+    /// other's, so its figure is used if it is higher.
     pub(crate) fn virtual_time(&self, key: Key) -> i64 {
         let Some(a) = self.accounts.get(&key) else {
             return 0;
         };
-        let level = a.virtual_time(self.share(key));
+        let virtual_time = a.virtual_time(self.share(key));
         match self.owner_view.get(&key) {
-            Some((_, rest)) => level.max(rest + self.normalized(key, a.charged(self.me))),
-            None => level,
+            Some((_, rest)) => virtual_time.max(rest + self.normalized(key, a.charged(self.me))),
+            None => virtual_time,
         }
     }
 
-    /// Returns normalised service without what one router counted.
+    /// Returns the virtual time of a workspace without the count of one router.
     pub(crate) fn virtual_time_without(&self, key: Key, writer: Writer) -> i64 {
         match self.accounts.get(&key) {
             Some(a) => a.virtual_time(self.share(key)) - self.normalized(key, a.charged(writer)),
@@ -135,12 +136,13 @@
         }
     }
 
-    /// Takes in what the owner of the pool says of a workspace, without this router's part.
+    /// Stores the virtual time that the owner of the pool sent, which excludes this router's
+    /// count.
     pub(crate) fn set_owner_view(&mut self, key: Key, rest: i64, now: Time) {
         self.owner_view.insert(key, (now, rest));
     }
 
-    /// Charges an amount, which may be below zero.
+    /// Charges an amount, which may be negative.
     pub(crate) fn charge(&mut self, key: Key, milli: i64) {
         if milli == 0 {
             return;
@@ -150,10 +152,10 @@
         account.charge(self.me, rev, milli);
     }
 
-    /// Notes whether requests of a workspace wait here.
+    /// Sets whether requests of a workspace are queued here.
     pub(crate) fn set_backlogged(&mut self, key: Key, backlogged: bool) {
-        let part = self.accounts.get(&key).and_then(|a| a.counts.get(&self.me));
-        if part.is_some_and(|p| p.backlogged) == backlogged {
+        let count = self.accounts.get(&key).and_then(|a| a.counts.get(&self.me));
+        if count.is_some_and(|p| p.backlogged) == backlogged {
             return;
         }
         let rev = self.touch(key);
@@ -162,17 +164,17 @@
         self.update_waiting(key);
     }
 
-    /// Keeps the list of workspaces that wait anywhere.
+    /// Updates whether a workspace is in the set of those that wait at any router.
     pub(super) fn update_waiting(&mut self, key: Key) {
-        let waits = |a: &Account| a.counts.values().any(|p| p.backlogged);
-        if self.accounts.get(&key).is_some_and(waits) {
+        let backlogged = |a: &Account| a.counts.values().any(|p| p.backlogged);
+        if self.accounts.get(&key).is_some_and(backlogged) {
             self.waiting.insert(key);
         } else {
             self.waiting.remove(&key);
         }
     }
 
-    /// Returns the accounts of workspaces that wait anywhere.
+    /// Returns the accounts of the backlogged workspaces.
     fn backlogged(&self) -> impl Iterator<Item = (Key, &Account)> {
         let accounts = self
             .waiting
@@ -181,17 +183,17 @@
         accounts.filter(|(_, a)| self.is_backlogged(a))
     }
 
-    /// Returns whether requests of a workspace wait at any live router.
+    /// Returns whether requests of a workspace are queued here or at a synced peer.
     pub(super) fn is_backlogged(&self, account: &Account) -> bool {
         account.counts.iter().any(|(w, p)| {
-            p.backlogged && (*w == self.me || self.peers.get(w).is_some_and(|f| f.synced))
+            p.backlogged && (*w == self.me || self.peers.get(w).is_some_and(|peer| peer.synced))
         })
     }
 
-    /// Returns the least level of the backlogged workspaces but one.
-    fn min_virtual_time(&self, but: Option<Key>, running: impl Fn(Key) -> i64) -> Option<i64> {
+    /// Returns the minimum virtual time of the backlogged workspaces other than `except`.
+    fn min_virtual_time(&self, except: Option<Key>, running: impl Fn(Key) -> i64) -> Option<i64> {
         self.backlogged()
-            .filter(|(key, _)| Some(*key) != but)
+            .filter(|(key, _)| Some(*key) != except)
             .map(|(key, a)| a.virtual_time(self.share(key)) - self.normalized(key, running(key)))
             .min()
     }
@@ -201,14 +203,14 @@
         (milli as f64 / self.share(key).get()) as i64
     }
 
-    /// Brings a workspace that becomes backlogged near the others.
+    /// Moves the virtual time of a workspace that becomes backlogged close to the others.
     ///
-    /// What it saved up by idling is lost but for the credit; and what it had while
-    /// nobody else waited is not held against it.
+    /// Idle time earns it no more than the credit, and service that it received while no other
+    /// workspace waited is not counted against it.
     ///
-    /// `running` gives what a workspace was charged for requests that still run here. It
-    /// counts as not yet received, so that a newcomer catches up with those whose
-    /// requests took all slots just before it came.
+    /// `running` returns the charges for requests that still run here. They count as not yet
+    /// received, so that a new workspace catches up with those whose requests took all slots
+    /// just before it arrived.
     pub(crate) fn activate(&mut self, key: Key, credit: i64, running: impl Fn(Key) -> i64) {
         if self
             .accounts
@@ -217,21 +219,21 @@
         {
             return;
         }
-        let level = self.virtual_time(key);
-        let least = self.min_virtual_time(Some(key), &running);
-        let low = least.unwrap_or(self.floor) - credit;
-        if level < low {
-            self.shift(key, low - level);
+        let virtual_time = self.virtual_time(key);
+        let min = self.min_virtual_time(Some(key), &running);
+        let low = min.unwrap_or(self.floor) - credit;
+        if virtual_time < low {
+            self.shift(key, low - virtual_time);
         }
-        if let Some(high) = least.map(|l| l + credit) {
-            let received = level - self.normalized(key, running(key));
+        if let Some(high) = min.map(|l| l + credit) {
+            let received = virtual_time - self.normalized(key, running(key));
             if received > high {
                 self.shift(key, high - received);
             }
         }
     }
 
-    /// Notes how far the least backlogged workspace is, and forgets idle ones.
+    /// Advances the time: raises the floor, and removes idle workspaces and expired views.
     pub(crate) fn tick(&mut self, now: Time) {
         self.now = now;
         if now.since(self.swept) >= SWEEP_INTERVAL {
@@ -240,14 +242,15 @@
         }
         self.owner_view
             .retain(|_, (at, _)| now.since(*at) < OWNER_VIEW_TTL);
-        if let Some(least) = self.min_virtual_time(None, |_| 0) {
-            self.floor = self.floor.max(least);
+        if let Some(min) = self.min_virtual_time(None, |_| 0) {
+            self.floor = self.floor.max(min);
         }
     }
 
-    /// Forgets the workspaces that were idle for long.
+    /// Removes workspaces that were idle for a long time.
     ///
-    /// Their levels no longer matter: on waiting again they are brought near the others.
+    /// Their virtual times no longer matter: on the next backlog they are moved close to the
+    /// others.
     fn sweep(&mut self) {
         let (now, waiting) = (self.now, &self.waiting);
         self.accounts
@@ -256,30 +259,31 @@
         self.changes.retain(|_, key| accounts.contains_key(key));
     }
 
-    /// Brings a workspace that another router has just reported to wait near the others, if
-    /// it is far behind.
+    /// Moves a workspace that another router has just reported as backlogged close to the
+    /// others, if it is far behind.
     ///
-    /// That happens where one router has forgotten it and another has not yet: what the
-    /// first counts begins anew, and it would be served alone until it has caught up.
+    /// This happens if one router has removed it as idle and another has not: the first one
+    /// counts from zero again, and the workspace would be served exclusively until it has
+    /// caught up.
     pub(super) fn limit_lag(&mut self, key: Key, debt: i64) {
-        let least = self.min_virtual_time(Some(key), |_| 0);
-        let behind = least.map_or(0, |l| l - debt - self.virtual_time(key));
+        let min = self.min_virtual_time(Some(key), |_| 0);
+        let behind = min.map_or(0, |l| l - debt - self.virtual_time(key));
         if behind > 0 {
             self.shift(key, behind);
         }
     }
 
-    /// Keeps what any backlogged workspace owes the others below `debt`.
+    /// Limits how far any backlogged workspace is ahead of the others to `debt`.
     ///
-    /// After a partition heals, one workspace may be far ahead of the rest. Without
-    /// this it would get nothing until all had caught up, which shows as starvation.
+    /// After a partition heals, one workspace may be far ahead of the rest. Without the limit
+    /// it would be starved until all others had caught up.
     pub(crate) fn forgive(&mut self, debt: i64) {
-        let Some(least) = self.min_virtual_time(None, |_| 0) else {
+        let Some(min) = self.min_virtual_time(None, |_| 0) else {
             return;
         };
         let ahead: Vec<(Key, i64)> = self
             .backlogged()
-            .map(|(key, a)| (key, a.virtual_time(self.share(key)) - least - debt))
+            .map(|(key, a)| (key, a.virtual_time(self.share(key)) - min - debt))
             .filter(|(_, over)| *over > 0)
             .collect();
         for (key, over) in ahead {
@@ -287,14 +291,14 @@
         }
     }
 
-    /// Moves the level of a workspace.
+    /// Changes the virtual time of a workspace.
     fn shift(&mut self, key: Key, by: i64) {
         let rev = self.touch(key);
         let account = self.accounts.entry(key).or_default();
         account.shift(self.me, rev, by);
     }
 
-    /// Notes that this router changes an account; returns the new revision.
+    /// Records that this router changes an account; returns the new revision.
     fn touch(&mut self, key: Key) -> u64 {
         if let Some(a) = self.accounts.get(&key) {
             self.changes.remove(&a.rev);
@@ -305,7 +309,7 @@
         self.rev
     }
 
-    /// Returns whether nothing is known of any workspace.
+    /// Returns whether there are no accounts.
     pub(crate) fn is_empty(&self) -> bool {
         self.accounts.is_empty()
     }
--- a/crates/policy/src/shares/mod.rs
+++ b/crates/policy/src/shares/mod.rs
@@ -1,4 +1,4 @@
-//! How much service each workspace has received, across the fleet.
+//! Fair-share accounting: the service that each workspace has received across the fleet.
 
 mod account;
 mod bound;
--- a/crates/policy/src/shares/table.rs
+++ b/crates/policy/src/shares/table.rs
@@ -1,4 +1,4 @@
-//! What workspaces have of their own, by key.
+//! The shares and queue limits of workspaces, by key.
 
 use {
     super::Key,
@@ -9,7 +9,7 @@
     std::sync::Arc,
 };
 
-/// Shares and lengths of queues by key, in order; cheap to clone, so that all services hold one table.
+/// Shares and queue limits, sorted by key; cheap to clone, so that all services share one table.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ShareTable(Arc<[(Key, Share, Option<usize>)]>);
 
@@ -23,13 +23,13 @@
         ShareTable(rows.into())
     }
 
-    /// Returns the share of a workspace, which is 1 where none is set.
+    /// Returns the share of a workspace, which is 1 if none is set.
     pub(crate) fn get(&self, key: Key) -> Share {
         self.row(key).map_or(Share::ONE, |r| r.1)
     }
 
-    /// Returns how many requests a workspace may queue, where it has a bound of its own.
-    pub(crate) fn queue(&self, key: Key) -> Option<usize> {
+    /// Returns how many requests a workspace may queue, if it has its own limit.
+    pub(crate) fn queue_limit(&self, key: Key) -> Option<usize> {
         self.row(key).and_then(|r| r.2)
     }
 
--- a/crates/policy/src/shares/tests.rs
+++ b/crates/policy/src/shares/tests.rs
@@ -23,16 +23,16 @@
     (a, b)
 }
 
-/// Tells one ledger what the other owes it.
-fn tell(from: &mut Ledger, to: &mut Ledger, ids: (Writer, Writer), relay: bool) {
+/// Sends the usage updates of one ledger to the other.
+fn send_updates(from: &mut Ledger, to: &mut Ledger, ids: (Writer, Writer), relay: bool) {
     let n = from.usage_updates(0, ids.1, relay).unwrap();
     to.merge(ids.0, n, Some(DEBT));
 }
 
 #[test]
 fn merge_in_any_order() {
-    // Messages between routers overtake each other and come twice. A count must not fall
-    // back to what an older message says.
+    // Messages between routers may be reordered or duplicated. A count must not revert to that
+    // of an older message.
     let (mut a, mut b) = ledgers();
     a.charge(Key(7), 100);
     let first = a.usage_updates(0, B, false).unwrap();
@@ -46,36 +46,36 @@
 
 #[test]
 fn usage_updates_relay_all() {
-    // A router comes back empty after another one has died. It needs the counts of the dead,
-    // and what they lifted, or its workspaces would all look new.
+    // A router restarts without any state after another one has died. It needs the counts and
+    // the catch-up of the dead router, or all workspaces would look new to it.
     let (mut a, mut b) = ledgers();
     a.set_backlogged(Key(1), true);
     a.charge(Key(1), 5_000);
     a.activate(Key(2), 100, |_| 0);
-    tell(&mut a, &mut b, (A, B), false);
+    send_updates(&mut a, &mut b, (A, B), false);
     let c = Writer(3);
     let mut fresh = Ledger::new(c);
     fresh.set_peers(&BTreeMap::from([(B, true)]));
     b.set_peers(&BTreeMap::from([(c, true)]));
-    tell(&mut b, &mut fresh, (B, c), true);
+    send_updates(&mut b, &mut fresh, (B, c), true);
     assert_eq!(fresh.virtual_time(Key(1)), 5_000);
     assert_eq!(fresh.virtual_time(Key(2)), 4_900);
 }
 
 #[test]
 fn tick_forgets_idle() {
-    // A workspace idles for a quarter of an hour; one router has forgotten it when it comes
-    // back, the owner has not. It must not be served alone until it has caught up.
+    // A workspace is idle for a quarter of an hour. When it returns, one router has removed it
+    // and the owner has not. It must not be served exclusively until it has caught up.
     let (mut a, mut owner) = ledgers();
     let start = Time(0) + MINUTE;
     a.tick(start);
     a.charge(Key(1), 50_000);
-    tell(&mut a, &mut owner, (A, B), false);
+    send_updates(&mut a, &mut owner, (A, B), false);
     a.tick(start + Span(15 * MINUTE.0));
     assert_eq!(a.virtual_time(Key(1)), 0);
     owner.set_backlogged(Key(2), true);
     owner.charge(Key(2), 90_000);
     a.set_backlogged(Key(1), true);
-    tell(&mut a, &mut owner, (A, B), false);
+    send_updates(&mut a, &mut owner, (A, B), false);
     assert_eq!(owner.virtual_time(Key(1)), 90_000 - DEBT);
 }
--- a/crates/policy/src/shares/usage_updates.rs
+++ b/crates/policy/src/shares/usage_updates.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other about service received.
+//! Messages between routers about the service that workspaces received.
 
 use {
     super::{
@@ -11,31 +11,31 @@
     },
 };
 
-/// Counts that changed since the receiver last said what it has seen.
+/// The counts that changed since the revision that the receiver last acknowledged.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageUpdates {
     pub(crate) service: u32,
-    /// The receiver's start that `seen` is about.
+    /// The low bits of the receiver's incarnation key that `seen` refers to.
     pub(crate) to: u32,
-    /// Revision of the receiver up to which all was seen.
+    /// The receiver's revision that the sender acknowledges.
     pub(crate) seen: u64,
-    /// Revision of the sender up to which this tells all.
+    /// The sender's revision up to which this message is complete.
     pub(crate) rev: u64,
-    /// Level of the least backlogged workspace when there last was any.
+    /// The highest minimum of virtual times among backlogged workspaces so far.
     pub(crate) floor: i64,
     #[serde(rename = "notes")]
     pub(crate) updates: Vec<UsageUpdate>,
-    /// Counts of other routers, for a receiver that is new.
+    /// Counts of other routers, for a new receiver.
     pub(crate) others: Vec<(Writer, Vec<Relay>)>,
-    /// What all routers lifted and forgave, for a receiver that is new.
+    /// Catch-up and forgiven service of all workspaces, for a new receiver.
     pub(crate) shifts: Vec<(Key, i64, i64)>,
 }
 
-/// Rough bytes of a message, of each count in it, and of each that is relayed.
+/// Approximate size in bytes of a message, of each count, and of each relayed count.
 const WIRE_SIZES: (usize, usize, usize) = (24, 16, 20);
 
 impl UsageUpdates {
-    /// Returns roughly how many bytes it takes on the wire.
+    /// Returns the approximate size on the wire, in bytes.
     pub(crate) fn size(&self) -> usize {
         let relays: usize = self.others.iter().map(|o| o.1.len()).sum();
         WIRE_SIZES.0
@@ -51,7 +51,7 @@
     pub(crate) charged: i64,
     #[serde(rename = "waits")]
     pub(crate) backlogged: bool,
-    /// What was lifted and forgiven, if that changed.
+    /// Catch-up and forgiven service, if they changed.
     pub(crate) shift: Option<(i64, i64)>,
 }
 
