--- a/crates/policy/src/members/gossip.rs
+++ b/crates/policy/src/members/gossip.rs
@@ -58,10 +58,10 @@
     /// Returns whether this update wins over `state`, as known from heartbeat `seq` of the same
     /// incarnation.
     pub(super) fn supersedes(&self, seq: u64, state: ReportedState) -> bool {
-        match (self.state, state) {
+        match (self.reported, state) {
             (_, ReportedState::Left) => false,
             (ReportedState::Left, _) => true,
-            _ => (self.seq, self.state) > (seq, state),
+            _ => (self.seq, self.reported) > (seq, state),
         }
     }
 }
--- a/crates/policy/src/members/messages.rs
+++ b/crates/policy/src/members/messages.rs
@@ -69,7 +69,7 @@
     pub seq: u64,
     /// The reported state.
     #[serde(rename = "word")]
-    pub state: ReportedState,
+    pub reported: ReportedState,
 }
 
 /// The state that an update reports; later variants win at the same sequence number.
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -176,7 +176,7 @@
             id: self.member.id.clone(),
             incarnation: self.member.incarnation,
             seq: self.seq,
-            state: self.reported_state(),
+            reported: self.reported_state(),
         }
     }
 
--- a/crates/policy/src/members/receive.rs
+++ b/crates/policy/src/members/receive.rs
@@ -125,7 +125,7 @@
             return;
         };
         if r.incarnation < p.member.incarnation {
-            if r.state != ReportedState::Live && p.reported_state() == ReportedState::Live {
+            if r.reported != ReportedState::Live && p.reported_state() == ReportedState::Live {
                 self.gossip.push(p.gossip_update(), n);
             }
             return;
@@ -135,7 +135,7 @@
             p.member.inbound_ok = false;
         } else if !r.supersedes(p.seq, p.reported_state()) {
             // More recent evidence is known here: pass that on instead.
-            if r.state != ReportedState::Live
+            if r.reported != ReportedState::Live
                 && p.reported_state() == ReportedState::Live
                 && r.seq < p.seq
             {
@@ -144,16 +144,16 @@
             return;
         }
         p.seq = p.seq.max(r.seq);
-        if r.state == ReportedState::Live {
+        if r.reported == ReportedState::Live {
             p.silent_since = now;
         }
-        self.set_state(&r.id, r.state.member_state(), now);
+        self.set_state(&r.id, r.reported.member_state(), now);
     }
 
     /// Handles an update about this router: refutes that it is not live.
     fn refute(&mut self, r: &GossipUpdate, from: &RouterId) {
         self.check_replaced(r.incarnation);
-        if r.incarnation != self.incarnation || r.state == ReportedState::Live {
+        if r.incarnation != self.incarnation || r.reported == ReportedState::Live {
             return;
         }
         self.seq = self.seq.max(r.seq) + 1;
@@ -161,7 +161,7 @@
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
-            state: ReportedState::Live,
+            reported: ReportedState::Live,
         };
         let n = self.peers.len();
         self.gossip.push(live, n);
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -172,7 +172,7 @@
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
-            state: ReportedState::Left,
+            reported: ReportedState::Left,
         };
         let ring = Ring::new(self.ring_ids());
         for id in self.targets(&ring) {
--- a/crates/policy/src/tickets/ticket.rs
+++ b/crates/policy/src/tickets/ticket.rs
@@ -90,14 +90,14 @@
 
     fn from_str(s: &str) -> Result<Ticket, TicketError> {
         let mut parts = s.split('/');
-        let (Some(router), Some(incarnation), Some(number), None) =
+        let (Some(router), Some(start), Some(number), None) =
             (parts.next(), parts.next(), parts.next(), parts.next())
         else {
             return Err(TicketError::Shape(s.to_owned()));
         };
         Ok(Ticket {
             router: router.parse()?,
-            incarnation: incarnation.parse()?,
+            incarnation: start.parse()?,
             number: number.parse()?,
         })
     }
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -101,7 +101,7 @@
         id: id(1),
         incarnation: Incarnation(1),
         seq: 5,
-        state: ReportedState::Dead,
+        reported: ReportedState::Dead,
     }];
     m.receive_heartbeat(b, at(3000));
     for seq in 3..=5 {
@@ -230,7 +230,7 @@
         id: id(1),
         incarnation: Incarnation(1),
         seq: 8,
-        state: ReportedState::Suspect,
+        reported: ReportedState::Suspect,
     }];
     m.receive_heartbeat(b, at(10));
     assert_eq!(peer(&m).state, State::Live);
--- a/crates/policy/tests/tickets/failures.rs
+++ b/crates/policy/tests/tickets/failures.rs
@@ -22,7 +22,7 @@
     std::sync::Arc, //
 };
 
-fn holder(name: &str, incarnation: u64) -> Holder {
+fn make_holder(name: &str, incarnation: u64) -> Holder {
     Holder {
         router: name.parse().unwrap(),
         incarnation: Incarnation(incarnation),
@@ -30,7 +30,7 @@
 }
 
 fn table(name: &str, incarnation: u64) -> Tickets {
-    Tickets::new(holder(name, incarnation), RetentionLimits::default())
+    Tickets::new(make_holder(name, incarnation), RetentionLimits::default())
 }
 
 fn at(s: u64) -> Time {
@@ -82,7 +82,7 @@
     let to_c = a.answer_transfer(&from_c, at(1));
     assert!(matches!(b.apply_reply(&t, to_b, at(1)), Claim::Granted(_)));
     let next = transfer_request(c.apply_reply(&t, to_c, at(1)));
-    assert_eq!(next.holder, holder("b", 1));
+    assert_eq!(next.holder, make_holder("b", 1));
     let to_c = b.answer_transfer(&next, at(1));
     assert_eq!(c.apply_reply(&t, to_c, at(1)), Claim::Running);
 }
@@ -116,7 +116,7 @@
     let request = transfer_request(b.apply_reply(&t, late_reply, at(3)));
     assert_eq!(
         request.holder,
-        holder("c", 1),
+        make_holder("c", 1),
         "the delayed reply to b must not count"
     );
 }
@@ -234,7 +234,7 @@
         answer_bytes: 4000,
         ..RetentionLimits::default()
     };
-    let mut a = Tickets::new(holder("a", 1), limits);
+    let mut a = Tickets::new(make_holder("a", 1), limits);
     let all = a.issue(10, at(0));
     for t in &all {
         let Claim::Granted(grant) = a.claim(t, at(1)) else {
--- a/crates/policy/tests/tickets/main.rs
+++ b/crates/policy/tests/tickets/main.rs
@@ -49,7 +49,7 @@
             12 => (i(), i()).prop_map(|(message, to)| Step::Deliver { message, to }),
             2 => i().prop_map(|message| Step::Lose { message }),
             4 => i().prop_map(|grant| Step::Start { grant }),
-            3 => i().prop_map(|grant| Step::Release { grant }),
+            3 => i().prop_map(|grant| Step::Reject { grant }),
             1 => i().prop_map(|grant| Step::ReleaseAgain { grant }),
             2 => (i(), outcome).prop_map(|(grant, outcome)| Step::Finish { grant, outcome }),
             1 => (i(), any::<bool>()).prop_map(|(at, killed)| Step::Restart { at, killed }),
--- a/crates/policy/tests/tickets/world.rs
+++ b/crates/policy/tests/tickets/world.rs
@@ -48,7 +48,7 @@
     Start {
         grant: Index,
     },
-    Release {
+    Reject {
         grant: Index,
     },
     /// A grant that was released or finished is released once more.
@@ -76,7 +76,7 @@
 
 #[derive(Debug)]
 struct Process {
-    holder: Holder,
+    id: Holder,
     now: Time,
     tickets: Tickets,
     dead: bool,
@@ -120,7 +120,7 @@
 }
 
 fn process(router: usize, incarnation: u64) -> Process {
-    let holder = Holder {
+    let id = Holder {
         router: format!("r{router}").parse().unwrap(),
         incarnation: Incarnation(incarnation),
     };
@@ -130,8 +130,8 @@
         answer_bytes: 64,
     };
     Process {
-        tickets: Tickets::new(holder.clone(), limits),
-        holder,
+        tickets: Tickets::new(id.clone(), limits),
+        id,
         now: Time::default(),
         dead: false,
     }
@@ -177,7 +177,7 @@
                 }
             }
             Step::Start { grant } => self.start(grant),
-            Step::Release { grant } => self.release(grant),
+            Step::Reject { grant } => self.reject(grant),
             Step::ReleaseAgain { grant } => {
                 if let Some(i) = pick(grant, self.ended.len()) {
                     let OpenGrant { process, grant, .. } = &self.ended[i];
@@ -251,7 +251,7 @@
         };
         // An old process that was only paused may receive it, as may the present one.
         let there: Vec<usize> = (0..self.processes.len())
-            .filter(|p| !self.processes[*p].dead && self.processes[*p].holder.router == *router)
+            .filter(|p| !self.processes[*p].dead && self.processes[*p].id.router == *router)
             .collect();
         let Some(p) = pick(to, there.len()).map(|i| there[i]) else {
             return;
@@ -292,7 +292,7 @@
         );
     }
 
-    fn release(&mut self, grant: &Index) {
+    fn reject(&mut self, grant: &Index) {
         let Some(i) = pick(grant, self.open.len()) else {
             return;
         };
@@ -328,13 +328,10 @@
 
     fn restart(&mut self, at: &Index, killed: bool) {
         let p = self.alive(at);
-        let holder = self.processes[p].holder.clone();
-        let router: usize = holder.router.as_str()[1..].parse().unwrap();
-        let last = self
-            .processes
-            .iter()
-            .filter(|o| o.holder.router == holder.router);
-        let next = last.map(|o| o.holder.incarnation.0).max().unwrap() + 1;
+        let id = self.processes[p].id.clone();
+        let router: usize = id.router.as_str()[1..].parse().unwrap();
+        let last = self.processes.iter().filter(|o| o.id.router == id.router);
+        let next = last.map(|o| o.id.incarnation.0).max().unwrap() + 1;
         self.processes[p].dead = killed;
         self.processes.push(process(router, next));
         if killed {
