--- a/crates/policy/src/head/mod.rs
+++ b/crates/policy/src/head/mod.rs
@@ -1,4 +1,4 @@
-//! Which revision of the configuration is in force here, and where to get a higher one.
+//! The configuration revision in force, and the sources of a higher one.
 
 mod revision;
 mod table;
--- a/crates/policy/src/head/revision.rs
+++ b/crates/policy/src/head/revision.rs
@@ -1,4 +1,4 @@
-//! Revisions, their sources, and what is decided about them.
+//! Configuration revisions, their sources, and the decisions about them.
 
 use {
     crate::RouterId,
@@ -13,7 +13,7 @@
     },
 };
 
-/// The number of an accepted configuration; a later one is higher.
+/// The number of an accepted configuration; later configurations have higher numbers.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -21,7 +21,7 @@
 pub struct Revision(pub u64);
 
 impl Revision {
-    /// Before the first configuration.
+    /// The revision before the first configuration.
     pub const NONE: Revision = Revision(0);
 
     /// Returns the next higher revision.
@@ -35,7 +35,7 @@
 #[serde(transparent)]
 pub struct Hash(pub u64);
 
-/// Who offers a revision.
+/// The source of a revision.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Source {
     /// The platform's key-value service.
@@ -44,20 +44,20 @@
     Peer(RouterId),
 }
 
-/// What to do about an offer.
+/// The action to take after an offer, a failed fetch or a tick.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
     /// Fetch this revision, or a higher one, from the source.
     Fetch {
-        /// At least this revision.
+        /// The lowest revision to accept.
         revision: Revision,
-        /// Where it was offered.
+        /// The source that offered it.
         from: Source,
     },
     /// Nothing to do.
     Ignore,
-    /// The platform holds an older revision than this router: it was restored from a
-    /// backup, or is confused. Its revision is not taken; the operators should know.
+    /// The platform has an older revision than this router: it was restored from a backup or is
+    /// inconsistent. Its revision is not used, and operators should be notified.
     Stale {
         /// The revision in force here.
         ours: Revision,
@@ -66,15 +66,15 @@
     },
 }
 
-/// What became of a fetched revision.
+/// The result of a fetch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FetchOutcome {
-    /// It is in force now.
+    /// The fetched revision is in force now.
     InForce,
     /// It is not higher than the one in force, which stays.
     Old,
-    /// It has the number of the one in force, but another text. The one in force stays;
-    /// the operators should write their change again with a higher number.
+    /// It has the number of the one in force, but a different text. The one in force stays;
+    /// operators should write their change again with a higher number.
     Conflict {
         /// The hash of the text in force.
         ours: Hash,
--- a/crates/policy/src/head/table.rs
+++ b/crates/policy/src/head/table.rs
@@ -1,4 +1,4 @@
-//! The revision in force at one router.
+//! The configuration head of one router: the revision in force and where to fetch from.
 
 use {
     super::{
@@ -14,16 +14,16 @@
     },
 };
 
-/// A fetch that takes longer is tried at another source.
-const FETCH_WAIT: Span = Span::secs(1);
-/// The head counts as confirmed for this long after a sign of the platform or a peer.
-const CONFIRMED_FOR: Span = Span::secs(3);
-/// Sources remembered for one revision; more add nothing.
-const SOURCES: usize = 8;
+/// A fetch that takes longer is retried at another source.
+const FETCH_TIMEOUT: Span = Span::secs(1);
+/// The head counts as confirmed for this long after an offer of the platform or a peer.
+const CONFIRMATION_TTL: Span = Span::secs(3);
+/// Maximum number of sources that are kept; more would add no redundancy.
+const MAX_SOURCES: usize = 8;
 
-/// The revision in force, the sources of a higher one, and who confirmed it last.
+/// The revision in force, the sources of a higher one, and when it was last confirmed.
 ///
-/// A revision in force is only ever replaced by a higher one, whoever offers what.
+/// A revision in force is only replaced by a higher one, whatever the source.
 ///
 /// # Examples
 ///
@@ -40,56 +40,57 @@
 /// ```
 #[derive(Debug)]
 pub struct Head {
-    force: Option<(Revision, Hash)>,
+    in_force: Option<(Revision, Hash)>,
     confirmed: Time,
-    /// Who offered a higher one, the next to try first.
+    /// The sources that offered a higher revision, in the order in which to try them.
     sources: Vec<(Revision, Source)>,
-    asked: Option<Asked>,
+    pending: Option<PendingFetch>,
 }
 
-/// The fetch that is under way.
+/// The fetch in progress.
 #[derive(Debug)]
-struct Asked {
+struct PendingFetch {
     revision: Revision,
     from: Source,
     at: Time,
 }
 
 impl Head {
-    /// Makes the head of a router that has no configuration yet.
+    /// Creates the head of a router that has no configuration yet.
     pub fn new(now: Time) -> Head {
         Head {
-            force: None,
+            in_force: None,
             confirmed: now,
             sources: Vec::new(),
-            asked: None,
+            pending: None,
         }
     }
 
-    /// Tells whether a revision is in force: without one the router must not serve.
+    /// Returns whether a revision is in force; without one, the router must not serve.
     pub fn ready(&self) -> bool {
-        self.force.is_some()
+        self.in_force.is_some()
     }
 
     /// Returns the revision in force.
     pub fn revision(&self) -> Option<Revision> {
-        self.force.map(|(r, _)| r)
+        self.in_force.map(|(r, _)| r)
     }
 
     /// Returns the hash of the text in force.
     pub fn hash(&self) -> Option<Hash> {
-        self.force.map(|(_, h)| h)
+        self.in_force.map(|(_, h)| h)
     }
 
-    /// Returns since when neither the platform nor any peer has confirmed the head, if
-    /// that is longer ago than a few heartbeats.
+    /// Returns when the platform or a peer last confirmed the head, if that is longer ago than
+    /// a few heartbeats.
     ///
-    /// Such a router may serve an old configuration without knowing.
+    /// Such a router may be serving an outdated configuration unknowingly.
     pub fn unconfirmed_since(&self, now: Time) -> Option<Time> {
-        (now.since(self.confirmed) > CONFIRMED_FOR).then_some(self.confirmed)
+        (now.since(self.confirmed) > CONFIRMATION_TTL).then_some(self.confirmed)
     }
 
-    /// Takes note that a source has this revision, by a watch, a read or a heartbeat.
+    /// Handles the information that a source has this revision, from a watch, a read or a
+    /// heartbeat.
     ///
     /// A peer that has none yet offers revision 0.
     pub fn offer(&mut self, revision: Revision, from: Source, now: Time) -> Decision {
@@ -98,7 +99,7 @@
             return Decision::Ignore;
         }
         if ours.is_none_or(|r| revision > r) {
-            return self.want(revision, from, now);
+            return self.add_source(revision, from, now);
         }
         self.confirmed = self.confirmed.max(now);
         match (ours, from) {
@@ -110,9 +111,9 @@
         }
     }
 
-    /// Takes a revision that was fetched and found valid.
+    /// Applies a revision that was fetched and validated.
     pub fn fetched(&mut self, revision: Revision, hash: Hash, now: Time) -> FetchOutcome {
-        match self.force {
+        match self.in_force {
             Some((ours, h)) if revision == ours && hash != h => {
                 return FetchOutcome::Conflict {
                     ours: h,
@@ -122,65 +123,74 @@
             Some((ours, _)) if revision <= ours => return FetchOutcome::Old,
             _ => {}
         }
-        self.force = Some((revision, hash));
+        self.in_force = Some((revision, hash));
         self.confirmed = self.confirmed.max(now);
         self.sources.retain(|(r, _)| *r > revision);
-        if self.asked.as_ref().is_some_and(|a| a.revision <= revision) {
-            self.asked = None;
+        if self
+            .pending
+            .as_ref()
+            .is_some_and(|a| a.revision <= revision)
+        {
+            self.pending = None;
         }
         FetchOutcome::InForce
     }
 
-    /// Notes that a fetch failed, or brought an invalid text; returns where to try next.
+    /// Handles a fetch that failed or returned an invalid text; returns the next source to try.
     pub fn failed(&mut self, from: &Source, now: Time) -> Decision {
-        if self.asked.as_ref().is_none_or(|a| a.from != *from) {
+        if self.pending.as_ref().is_none_or(|a| a.from != *from) {
             return Decision::Ignore;
         }
-        self.put_last(from);
+        self.move_last(from);
         match self.sources.first() {
-            // Nobody else to try: `tick` tries again, lest a broken source is asked without
-            // pause.
+            // There is no other source. `tick` retries after the timeout, so that a broken source
+            // is not polled in a busy loop.
             Some((_, next)) if next == from => Decision::Ignore,
-            _ => self.ask(now),
+            _ => self.fetch_next(now),
         }
     }
 
-    /// Lets time pass: a fetch that hangs is tried at the next source.
+    /// Advances the time: a fetch that timed out is retried at the next source.
     pub fn tick(&mut self, now: Time) -> Decision {
-        match &self.asked {
-            Some(a) if now.since(a.at) <= FETCH_WAIT => return Decision::Ignore,
+        match &self.pending {
+            Some(a) if now.since(a.at) <= FETCH_TIMEOUT => return Decision::Ignore,
             Some(a) => {
                 let from = a.from.clone();
-                self.put_last(&from);
+                self.move_last(&from);
             }
             None => {}
         }
-        self.ask(now)
+        self.fetch_next(now)
     }
 
-    /// Notes a source of a higher revision, and asks it at once if none is higher.
-    fn want(&mut self, revision: Revision, from: Source, now: Time) -> Decision {
+    /// Adds a source of a higher revision, and fetches from it at once unless a fetch of the same
+    /// or a higher revision is in progress.
+    fn add_source(&mut self, revision: Revision, from: Source, now: Time) -> Decision {
         match self.sources.iter_mut().find(|(_, s)| *s == from) {
             Some(known) => known.0 = known.0.max(revision),
             None => self.sources.push((revision, from.clone())),
         }
-        if self.sources.len() > SOURCES {
+        if self.sources.len() > MAX_SOURCES {
             let lowest = (0..self.sources.len()).min_by_key(|i| self.sources[*i].0);
             self.sources.remove(lowest.unwrap_or_default());
         }
-        if self.asked.as_ref().is_some_and(|a| a.revision >= revision) {
+        if self
+            .pending
+            .as_ref()
+            .is_some_and(|a| a.revision >= revision)
+        {
             return Decision::Ignore;
         }
-        self.put_first(&from);
-        self.ask(now)
+        self.move_first(&from);
+        self.fetch_next(now)
     }
 
-    fn ask(&mut self, now: Time) -> Decision {
+    fn fetch_next(&mut self, now: Time) -> Decision {
         let Some((revision, from)) = self.sources.first().cloned() else {
-            self.asked = None;
+            self.pending = None;
             return Decision::Ignore;
         };
-        self.asked = Some(Asked {
+        self.pending = Some(PendingFetch {
             revision,
             from: from.clone(),
             at: now,
@@ -188,11 +198,11 @@
         Decision::Fetch { revision, from }
     }
 
-    fn put_first(&mut self, from: &Source) {
+    fn move_first(&mut self, from: &Source) {
         self.sources.sort_by_key(|(_, s)| s != from);
     }
 
-    fn put_last(&mut self, from: &Source) {
+    fn move_last(&mut self, from: &Source) {
         self.sources.sort_by_key(|(_, s)| s == from);
     }
 }
--- a/crates/policy/src/head/watchers.rs
+++ b/crates/policy/src/head/watchers.rs
@@ -1,4 +1,4 @@
-//! Which few routers watch the platform for the others.
+//! Selection of the routers that watch the platform on behalf of the fleet.
 
 use crate::{
     members::Member,
@@ -6,19 +6,19 @@
     RouterId, //
 };
 
-/// How many routers watch one key, so that one may fail unnoticed.
+/// Number of routers that watch one key, so that the failure of one has no effect.
 pub const WATCHER_COUNT: usize = 3;
 
 /// Returns the `k` routers that watch `key`, the same at every router with the same view.
 ///
-/// Three routers that lost the platform while the others reach it would keep the whole fleet
-/// at an old configuration: changes are accepted and come into force nowhere. So those to
-/// whom the platform answers, by their own word, go first; where it answers nobody, all rank
-/// alike, and the same few go on trying.
+/// If three watchers lost the platform while the others reach it, the whole fleet would stay at
+/// an old configuration: changes would be accepted and come into force nowhere. Routers that
+/// report that they reach the platform are therefore preferred. If none does, all rank equally,
+/// and the same few keep trying.
 ///
-/// Each waiting watch counts as a call to the platform, so not everyone may watch. One that
-/// is suspect or leaving is replaced at once: a second watch too many does no harm. A
-/// router that sees nobody else watches by itself.
+/// Each pending watch counts as a call to the platform, so not all routers may watch. A watcher
+/// that is suspect or leaving is replaced at once, as an extra watch for a while does no harm. A
+/// router that sees no others watches by itself.
 ///
 /// # Examples
 ///
