--- a/crates/policy/tests/head/fuzz.rs
+++ b/crates/policy/tests/head/fuzz.rs
@@ -1,4 +1,5 @@
-//! Routers, a platform that may be restored to an older state, and lost fetches.
+//! Fuzz test with several routers, a platform that may be restored to an older state, and
+//! failed fetches.
 
 use {
     crate::seeded,
@@ -28,20 +29,20 @@
 pub enum Step {
     /// An operator writes a revision above all that were ever in force.
     Write,
-    /// The platform comes back with an older state.
+    /// The platform is restored to an older state.
     Restore(u64),
-    Down(bool),
-    /// A router hears of the platform's revision.
+    PlatformDown(bool),
+    /// A router learns the platform's revision.
     Watch(usize),
-    /// The second router hears of the first one's revision.
-    Beat(usize, usize),
-    /// A router fetches what it last decided to; the source may be gone.
+    /// The second router learns the first one's revision.
+    Heartbeat(usize, usize),
+    /// A router performs its pending fetch; the source may have become unavailable.
     Fetch(usize),
     Tick(usize),
     Restart(usize),
-    Pass(Span),
-    /// Everyone reaches everyone, and nothing is lost.
-    Calm,
+    AdvanceClock(Span),
+    /// The platform and all routers reach each other, and all fetches succeed.
+    Heal,
 }
 
 #[derive(Debug)]
@@ -51,7 +52,7 @@
     down: bool,
     written: u64,
     heads: Vec<Head>,
-    todo: Vec<Option<Source>>,
+    pending: Vec<Option<Source>>,
     /// The highest revision in force at each router since it started.
     highest: Vec<Option<Revision>>,
 }
@@ -71,14 +72,14 @@
         prop_oneof![
             3 => Just(Step::Write),
             1 => (1..5u64).prop_map(Step::Restore),
-            1 => any::<bool>().prop_map(Step::Down),
+            1 => any::<bool>().prop_map(Step::PlatformDown),
             4 => r().prop_map(Step::Watch),
-            6 => (r(), r()).prop_map(|(a, b)| Step::Beat(a, b)),
+            6 => (r(), r()).prop_map(|(a, b)| Step::Heartbeat(a, b)),
             6 => r().prop_map(Step::Fetch),
             3 => r().prop_map(Step::Tick),
             1 => r().prop_map(Step::Restart),
-            2 => (1..2000u64).prop_map(|ms| Step::Pass(Span::millis(ms))),
-            1 => Just(Step::Calm),
+            2 => (1..2000u64).prop_map(|ms| Step::AdvanceClock(Span::millis(ms))),
+            1 => Just(Step::Heal),
         ]
         .boxed()
     }
@@ -97,35 +98,35 @@
         }
     }
 
-    fn decided(&mut self, i: usize, d: Decision) {
+    fn apply_decision(&mut self, i: usize, d: Decision) {
         match d {
             Decision::Fetch { revision, from } => {
                 assert!(self.heads[i].revision().is_none_or(|r| revision > r));
-                self.todo[i] = Some(from);
+                self.pending[i] = Some(from);
             }
             Decision::Stale { ours, theirs } => assert!(theirs < ours),
             Decision::Ignore => {}
         }
     }
 
-    fn beat(&mut self, a: usize, b: usize) {
+    fn heartbeat(&mut self, a: usize, b: usize) {
         let from = Source::Peer(format!("r{a}").parse().unwrap());
         let revision = self.heads[a].revision().unwrap_or_default();
         if a != b {
             let d = self.heads[b].offer(revision, from, self.now);
-            self.decided(b, d);
+            self.apply_decision(b, d);
         }
     }
 
     fn watch(&mut self, i: usize) {
         if !self.down {
             let d = self.heads[i].offer(Revision(self.platform), Source::Platform, self.now);
-            self.decided(i, d);
+            self.apply_decision(i, d);
         }
     }
 
     fn fetch(&mut self, i: usize) {
-        let Some(from) = self.todo[i].take() else {
+        let Some(from) = self.pending[i].take() else {
             return;
         };
         match self.revision(&from) {
@@ -136,17 +137,17 @@
             }
             None => {
                 let d = self.heads[i].failed(&from, self.now);
-                self.decided(i, d);
+                self.apply_decision(i, d);
             }
         }
     }
 
     fn tick(&mut self, i: usize) {
         let d = self.heads[i].tick(self.now);
-        self.decided(i, d);
+        self.apply_decision(i, d);
     }
 
-    fn calm(&mut self) {
+    fn heal(&mut self) {
         self.down = false;
         let best = (0..ROUTERS).filter_map(|i| self.heads[i].revision()).max();
         let best = best.unwrap_or_default().max(Revision(self.platform));
@@ -154,7 +155,7 @@
             self.now += Span::millis(1100);
             for i in 0..ROUTERS {
                 self.watch(i);
-                (0..ROUTERS).for_each(|b| self.beat(i, b));
+                (0..ROUTERS).for_each(|b| self.heartbeat(i, b));
             }
             for i in 0..ROUTERS {
                 self.tick(i);
@@ -174,18 +175,18 @@
                 self.platform = self.written;
             }
             Step::Restore(by) => self.platform = self.platform.saturating_sub(by),
-            Step::Down(down) => self.down = down,
+            Step::PlatformDown(down) => self.down = down,
             Step::Watch(i) => self.watch(i),
-            Step::Beat(a, b) => self.beat(a, b),
+            Step::Heartbeat(a, b) => self.heartbeat(a, b),
             Step::Fetch(i) => self.fetch(i),
             Step::Tick(i) => self.tick(i),
             Step::Restart(i) => {
                 self.heads[i] = Head::new(self.now);
-                self.todo[i] = None;
+                self.pending[i] = None;
                 self.highest[i] = None;
             }
-            Step::Pass(s) => self.now += s,
-            Step::Calm => self.calm(),
+            Step::AdvanceClock(s) => self.now += s,
+            Step::Heal => self.heal(),
             Step::Write => {}
         }
     }
@@ -202,7 +203,7 @@
             down: false,
             written: 0,
             heads: (0..ROUTERS).map(|_| Head::new(Time(0))).collect(),
-            todo: vec![None; ROUTERS],
+            pending: vec![None; ROUTERS],
             highest: vec![None; ROUTERS],
         }
     }
@@ -210,16 +211,16 @@
     fn apply(mut w: World, _: &(), step: Step) -> World {
         w.step(step);
         for i in 0..ROUTERS {
-            let force = w.heads[i].revision();
-            assert!(force >= w.highest[i], "router {i} went back");
-            assert_eq!(force.map(|r| Hash(r.0)), w.heads[i].hash());
-            w.highest[i] = force;
+            let in_force = w.heads[i].revision();
+            assert!(in_force >= w.highest[i], "router {i} went back");
+            assert_eq!(in_force.map(|r| Hash(r.0)), w.heads[i].hash());
+            w.highest[i] = in_force;
         }
         w
     }
 
     fn teardown(mut w: World) {
-        w.calm();
+        w.heal();
     }
 }
 
--- a/crates/policy/tests/head/main.rs
+++ b/crates/policy/tests/head/main.rs
@@ -1,4 +1,5 @@
-//! The configuration in force: never reverts, and is fetched from whoever has it.
+//! Tests of the configuration head: it never reverts, and fetches from any source that has a
+//! higher revision.
 
 mod fuzz;
 #[path = "../seeded/mod.rs"]
@@ -39,8 +40,8 @@
 
 #[test]
 fn offer_from_a_restored_platform() {
-    // Operators restore the platform's store from a backup. Every router reads a revision
-    // that is older than the one in force. Taking it would undo an accepted change.
+    // Operators restore the platform's store from a backup, and every router reads a revision
+    // older than the one in force. Applying it would undo an accepted change.
     let mut head = Head::new(Time(0));
     head.fetched(Revision(100), Hash(1), Time(0));
     let stale = Decision::Stale {
@@ -66,8 +67,8 @@
 
 #[test]
 fn offer_whose_source_dies() {
-    // A router hears of revision 9 from a peer, which is killed before it can be fetched.
-    // Others have 8. Waiting for 9 only would leave the router at its old revision.
+    // A peer offers revision 9 and is killed before it can be fetched. Others have revision 8.
+    // If the router only waited for 9, it would keep its old revision.
     let mut head = Head::new(Time(0));
     head.fetched(Revision(5), Hash(5), Time(0));
     assert_eq!(
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn unconfirmed_since_the_last_sign_of_anyone() {
+fn unconfirmed_since_the_last_offer() {
     let mut head = Head::new(Time(0));
     head.fetched(Revision(4), Hash(4), Time(0));
     let cut = Time(0) + Span::secs(10);
@@ -161,8 +162,8 @@
 
 #[test]
 fn watchers_without_platform() {
-    // The routers that watch for all others lose the platform. Changes are accepted, and come
-    // into force nowhere, as watchers are chosen by their names alone.
+    // The watchers lose the platform while the other routers reach it. If watchers were chosen
+    // by name only, changes would be accepted and come into force nowhere.
     let mut view = fleet_of_eight();
     let before = watchers(&view, "config", 3);
     let mut lose = |lost: &[RouterId]| {
@@ -183,8 +184,8 @@
     let mut view = fleet_of_eight();
     let before = watchers(&view, "config", 3);
     assert_eq!(before.len(), 3);
-    let gone = view.iter_mut().find(|m| m.id == before[0]).unwrap();
-    gone.leaving = true;
+    let watcher = view.iter_mut().find(|m| m.id == before[0]).unwrap();
+    watcher.leaving = true;
     let after = watchers(&view, "config", 3);
     assert_eq!(after[..2], before[1..]);
     assert!(!after.contains(&before[0]));
