--- a/crates/gateway/src/fleet/hear.rs
+++ b/crates/gateway/src/fleet/hear.rs
@@ -23,8 +23,8 @@
     },
     policy::{
         actives::{
-            Heard,
-            Said, //
+            HelloKind,
+            LoadFlags, //
         },
         RouterId, //
     },
@@ -97,7 +97,7 @@
         };
         match Word::decode(&buf[..n]) {
             Ok(Word::Hello(hello)) if hello.name != listener.gw.settings.name => {
-                if listener.hello(&hello) == Heard::First && hello.asks {
+                if listener.hello(&hello) == HelloKind::First && hello.asks {
                     listener.answer(hello.intro.peers).await;
                 }
             }
@@ -116,16 +116,18 @@
         let mut tables = self.gw.tables();
         let next = about.next();
         let told = loads.loads();
-        let said = Said {
+        let said = LoadFlags {
             busy: told.iter().map(|(_, load)| load.running).sum::<u32>() >= BUSY,
             to_active: loads.to_active,
             from_active: loads.from_active,
         };
-        let word = tables.fleet.word(about.from, about.number, next, said, now);
+        let word = tables
+            .fleet
+            .receive_loads(about.from, about.number, next, said, now);
         let Some((from, at)) = word else {
             return;
         };
-        tables.board.peer(&from, &told, now);
+        tables.board.set_peer(&from, &told, now);
         drop(tables);
         self.about(about, &from, at);
     }
@@ -134,10 +136,10 @@
         let about = &summary.about;
         let now = self.gw.now();
         let mut tables = self.gw.tables();
-        let said = Said::default();
+        let said = LoadFlags::default();
         let word = tables
             .fleet
-            .word(about.from, about.number, about.next(), said, now);
+            .receive_loads(about.from, about.number, about.next(), said, now);
         let Some((from, at)) = word else {
             return;
         };
@@ -149,27 +151,28 @@
         self.about(about, &from, at);
     }
 
-    fn hello(&self, hello: &Hello) -> Heard {
+    fn hello(&self, hello: &Hello) -> HelloKind {
         let now = self.gw.now();
         let about = &hello.about;
         let mut tables = self.gw.tables();
         let rate = f64::from(hello.rate);
         let intro = hello.intro.clone();
-        let heard = tables
-            .fleet
-            .hello(&hello.name, about.number, intro, about.next(), rate, now);
-        if heard == Heard::Old {
+        let heard =
+            tables
+                .fleet
+                .receive_hello(&hello.name, about.number, intro, about.next(), rate, now);
+        if heard == HelloKind::Stale {
             return heard;
         }
         if !hello.counts.is_empty() {
-            tables.quota.peer(&hello.name, &hello.counts, now);
+            tables.quota.set_peer(&hello.name, &hello.counts, now);
         }
-        tables.fleet.told_silent(&hello.silent, now);
+        tables.fleet.receive_silent(&hello.silent, now);
         for addr in &hello.known {
-            tables.fleet.list(*addr, now);
+            tables.fleet.add_address(*addr, now);
         }
-        let left = tables.roster.told(&hello.left, now);
-        let held = tables.quarantine.hear(&hello.notes, now);
+        let left = tables.roster.apply_departures(&hello.left, now);
+        let held = tables.quarantine.apply_update(&hello.notes, now);
         drop(tables);
         let at = hello.intro.peers;
         for digest in held {
@@ -185,7 +188,7 @@
             );
         }
         self.about(about, &hello.name, at);
-        if heard == Heard::First {
+        if heard == HelloKind::First {
             log::info!("event=peer outcome=heard peer={} at={at}", hello.name);
         }
         heard
@@ -200,8 +203,8 @@
         let hello = {
             let tables = self.gw.tables();
             let facts = tables.facts(&self.gw, number, config);
-            let mut hello = tables.hello(&facts, tables.fleet.round(), now);
-            hello.known = tables.fleet.some(KNOWN, fastrand::usize(..));
+            let mut hello = tables.hello(&facts, tables.fleet.hello_interval(), now);
+            hello.known = tables.fleet.sample_addresses(KNOWN, fastrand::usize(..));
             hello
         };
         send(&self.socket, &Word::Hello(Box::new(hello)), &[to], false).await;
@@ -212,8 +215,8 @@
         let gw = &self.gw;
         let now = gw.now();
         let mut tables = gw.tables();
-        tables.watch.peer(from, about.config_age(), now);
-        tables.roster.named_era(about.era, now);
+        tables.watch.set_peer(from, about.config_age(), now);
+        tables.roster.observe_peer_era(about.era, now);
         let newer = tables.roster.peer_list(about.list_age(), about.list, now);
         drop(tables);
         gw.note_named_era(about.era, from);
--- a/crates/gateway/src/fleet/talk.rs
+++ b/crates/gateway/src/fleet/talk.rs
@@ -20,9 +20,9 @@
     futures_lite::future::or,
     policy::{
         actives::{
-            short,
+            router_key,
             Actives,
-            Due,
+            Recipients,
             HELLO_EVERY, //
         },
         RouterId,
@@ -136,30 +136,35 @@
     let due = tables.fleet.due(speaks, urgent, now);
     occasion.note_active(&tables.fleet);
     let acts = tables.fleet.acts_active(now);
-    let pace = tables.fleet.pace();
-    tables.board.hear(pace);
-    tables.quota.hear(pace * f64::from(HELLO_EVERY));
+    let pace = tables.fleet.gossip_interval();
+    tables.board.set_report_interval(pace);
+    tables
+        .quota
+        .set_report_interval(pace * f64::from(HELLO_EVERY));
     tables.board.forget(now);
     tables.quota.forget(now);
     tables.quarantine.forget(now);
     let facts = tables.facts(gw, number, config);
     let mut words = Vec::new();
     // A request that ends replicas is sent to the next one within a tenth of a second or so.
-    let news = tables.quarantine.takes_news();
+    let news = tables.quarantine.take_unreported();
     if news || occasion.round % HELLO_EVERY == 1 {
         words.extend(tables.introductions(&facts, &due, now));
     }
     words.extend(tables.summaries(&facts, &due, now));
-    for (to, next) in [(due.far, due.far_next), (due.seldom, due.seldom_next)] {
+    for (to, next) in [
+        (due.remote, due.remote_next),
+        (due.standbys, due.standbys_next),
+    ] {
         if !to.is_empty() {
             let far = tables.hello(&facts, next, now);
             words.push((Word::Hello(Box::new(far)), to));
         }
     }
     drop(tables);
-    for (to, to_active) in [(due.near, true), (due.addressed, false)] {
+    for (to, to_active) in [(due.active_peers, true), (due.addressed, false)] {
         if !to.is_empty() {
-            let about = About::new(&facts, due.near_next);
+            let about = About::new(&facts, due.active_next);
             let mut loads = Loads::new(about, &loads);
             loads.to_active = to_active;
             loads.from_active = acts;
@@ -173,7 +178,7 @@
     pub(super) fn facts(&self, gw: &Shared, number: u32, config: u64) -> Facts {
         let now = gw.now();
         Facts {
-            from: short(&gw.settings.name, gw.incarnation),
+            from: router_key(&gw.settings.name, gw.incarnation),
             number,
             list_age: self.roster.age(now),
             list: self.roster.digest(),
@@ -184,18 +189,23 @@
     }
 
     /// Returns introductions, with counts, for the active routers and the busy standbys.
-    fn introductions(&mut self, facts: &Facts, due: &Due, now: Time) -> Vec<Addressed> {
-        let near: Vec<SocketAddr> = due.near.iter().chain(&due.addressed).copied().collect();
-        let beside = due.beside.clone();
+    fn introductions(&mut self, facts: &Facts, due: &Recipients, now: Time) -> Vec<Addressed> {
+        let near: Vec<SocketAddr> = due
+            .active_peers
+            .iter()
+            .chain(&due.addressed)
+            .copied()
+            .collect();
+        let beside = due.busy_standbys.clone();
         let mut all = Vec::new();
         if near.is_empty() && beside.is_empty() {
             return all;
         }
         let counts = self.quota.report(now);
-        for (to, next) in [(near, due.near_next), (beside, due.beside_next)] {
+        for (to, next) in [(near, due.active_next), (beside, due.busy_next)] {
             if !to.is_empty() {
                 let mut hello = self.hello(facts, next, now);
-                hello.notes = self.quarantine.notes(now);
+                hello.notes = self.quarantine.full_update(now);
                 hello.counts = counts.clone();
                 all.push((Word::Hello(Box::new(hello)), to));
             }
@@ -204,12 +214,12 @@
     }
 
     /// Returns the summaries for the busy standbys that get them from this router.
-    fn summaries(&self, facts: &Facts, due: &Due, now: Time) -> Vec<Addressed> {
+    fn summaries(&self, facts: &Facts, due: &Recipients, now: Time) -> Vec<Addressed> {
         let sharers = self.fleet.sharers(now);
         let summary = |(name, addr): &(RouterId, SocketAddr)| {
-            let about = About::new(facts, due.near_next);
-            let loads = self.board.all_but(name, now);
-            let counts = self.quota.all_but(name, now);
+            let about = About::new(facts, due.active_next);
+            let loads = self.board.loads_except(name, now);
+            let counts = self.quota.counts_except(name, now);
             (
                 Word::Summary(Summary::new(about, sharers, loads, counts)),
                 vec![*addr],
@@ -223,13 +233,13 @@
         Hello {
             about: About::new(facts, next),
             name: self.fleet.name().clone(),
-            intro: self.fleet.own().clone(),
+            intro: self.fleet.local().clone(),
             rate: self.fleet.rate() as f32,
             counts: Vec::new(),
-            left: self.roster.left(now),
-            notes: self.quarantine.holds(now),
+            left: self.roster.departures(now),
+            notes: self.quarantine.held_update(now),
             silent: self.fleet.silent(),
-            asks: self.fleet.knows_few(),
+            asks: self.fleet.needs_addresses(),
             known: Vec::new(),
         }
     }
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        level,
+        max_min_share,
         window::{
             Lately,
             Window,
@@ -43,13 +43,16 @@
 
 /// Tokens over the window.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Asked {
+pub struct UsageCounts {
     /// That were asked for.
-    pub asked: f32,
+    #[serde(rename = "asked")]
+    pub requested: f32,
     /// Of which were begun.
-    pub given: f32,
+    #[serde(rename = "given")]
+    pub served: f32,
     /// That were asked for in the last second.
-    pub lately: f32,
+    #[serde(rename = "lately")]
+    pub recent: f32,
 }
 
 /// The shares of workspaces in the fleet's capacity.
@@ -62,9 +65,9 @@
 /// let mut quota = Quota::new(Span::secs(4));
 /// quota.set_capacity(100.0);
 /// let (large, small) = (WorkspaceKey(1), WorkspaceKey(2));
-/// quota.asked(large, 4_000.0, Time(0));
-/// quota.given(large, 800.0, Time(0));
-/// quota.asked(small, 40.0, Time(0));
+/// quota.record_requested(large, 4_000.0, Time(0));
+/// quota.record_served(large, 800.0, Time(0));
+/// quota.record_requested(small, 40.0, Time(0));
 /// assert!(quota.standing(large, 0.5, Time(0)).share > 1.0);
 /// assert!(quota.standing(small, 0.5, Time(0)).share < 1.0);
 /// ```
@@ -87,7 +90,7 @@
 #[derive(Debug)]
 struct Told {
     at: Time,
-    counts: HashMap<WorkspaceKey, Asked>,
+    counts: HashMap<WorkspaceKey, UsageCounts>,
 }
 
 /// The most that a workspace may have over the window, in tokens.
@@ -101,7 +104,7 @@
 
 /// Where a request stands among those of its workspace, against the parts that are fair.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
-pub struct Standing {
+pub struct UsageStanding {
     /// What the workspace was given, as a multiple of its fair share of the stated capacity;
     /// 0 where none is known.
     pub share: f64,
@@ -109,11 +112,11 @@
     /// a multiple of an even part of all that was given: up to 1 for as many as make up that
     /// part. Engines give more than is stated where little has to be read anew; of the rest
     /// nobody is to have more than another who wants more. 0 where all can be given.
-    pub even: f64,
+    pub max_min_ratio: f64,
     /// What the workspace asked for in the last second, over the fleet, in tokens.
-    pub asked: f64,
+    pub demand: f64,
     /// The even part in a second, in tokens; 0 where none is known.
-    pub part: f64,
+    pub max_min_share: f64,
 }
 
 impl WorkspaceKey {
@@ -123,30 +126,30 @@
     }
 }
 
-impl Asked {
-    pub(super) fn add(&mut self, other: Asked) {
-        self.asked += other.asked;
-        self.given += other.given;
-        self.lately += other.lately;
+impl UsageCounts {
+    pub(super) fn add(&mut self, other: UsageCounts) {
+        self.requested += other.requested;
+        self.served += other.served;
+        self.recent += other.recent;
     }
 
-    fn max(self, other: Asked) -> Asked {
-        Asked {
-            asked: self.asked.max(other.asked),
-            given: self.given.max(other.given),
-            lately: self.lately.max(other.lately),
+    fn max(self, other: UsageCounts) -> UsageCounts {
+        UsageCounts {
+            requested: self.requested.max(other.requested),
+            served: self.served.max(other.served),
+            recent: self.recent.max(other.recent),
         }
     }
 
-    fn take(&mut self, other: Asked) {
-        self.asked = (self.asked - other.asked).max(0.0);
-        self.given = (self.given - other.given).max(0.0);
-        self.lately = (self.lately - other.lately).max(0.0);
+    fn take(&mut self, other: UsageCounts) {
+        self.requested = (self.requested - other.requested).max(0.0);
+        self.served = (self.served - other.served).max(0.0);
+        self.recent = (self.recent - other.recent).max(0.0);
     }
 }
 
 impl Told {
-    fn new(counts: &[(WorkspaceKey, Asked)], now: Time) -> Told {
+    fn new(counts: &[(WorkspaceKey, UsageCounts)], now: Time) -> Told {
         Told {
             at: now,
             counts: counts.iter().copied().collect(),
@@ -169,8 +172,8 @@
     }
 
     /// Sets how often peers tell their counts, which is more seldom in a large fleet.
-    pub fn hear(&mut self, every: Span) {
-        self.heard.hear(every);
+    pub fn set_report_interval(&mut self, every: Span) {
+        self.heard.set_report_interval(every);
     }
 
     /// Sets what all may have together, in tokens a second; 0 where it is not known.
@@ -180,13 +183,13 @@
     }
 
     /// Counts what a workspace asks for.
-    pub fn asked(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
-        self.own.asked(workspace, tokens, now);
+    pub fn record_requested(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
+        self.own.record_requested(workspace, tokens, now);
     }
 
     /// Counts what a workspace was given, when its request begins.
-    pub fn given(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
-        self.own.given(workspace, tokens, now);
+    pub fn record_served(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
+        self.own.record_served(workspace, tokens, now);
     }
 
     /// Returns what a workspace asks of the peers more than these have told by now, in tokens in
@@ -211,32 +214,32 @@
     }
 
     /// Returns this router's own counts, to tell the peers, and notes what it tells.
-    pub fn report(&mut self, now: Time) -> Vec<(WorkspaceKey, Asked)> {
+    pub fn report(&mut self, now: Time) -> Vec<(WorkspaceKey, UsageCounts)> {
         let keys = self.own.workspaces();
         let lately = keys.map(|key| (*key, self.own.lately(*key, now)));
         self.reported = lately.collect();
         let keys = self.own.workspaces();
         let sums = keys.map(|key| (*key, self.own.sum(*key, now)));
-        sums.filter(|(_, sum)| sum.asked > 0.0 || sum.given > 0.0)
+        sums.filter(|(_, sum)| sum.requested > 0.0 || sum.served > 0.0)
             .collect()
     }
 
     /// Takes a peer's counts, in place of those before.
-    pub fn peer(&mut self, from: &RouterId, counts: &[(WorkspaceKey, Asked)], now: Time) {
+    pub fn set_peer(&mut self, from: &RouterId, counts: &[(WorkspaceKey, UsageCounts)], now: Time) {
         self.peers.insert(from.clone(), Told::new(counts, now));
     }
 
     /// Replaces the sum of all other routers' counts.
     ///
     /// Some of these may send their own counts as well, so the larger of both counts.
-    pub fn set_summary(&mut self, counts: &[(WorkspaceKey, Asked)], now: Time) {
+    pub fn set_summary(&mut self, counts: &[(WorkspaceKey, UsageCounts)], now: Time) {
         self.summary = Some(Told::new(counts, now));
     }
 
     /// Returns the counts of all routers but one, to send them to that one.
-    pub fn all_but(&self, peer: &RouterId, now: Time) -> Vec<(WorkspaceKey, Asked)> {
+    pub fn counts_except(&self, peer: &RouterId, now: Time) -> Vec<(WorkspaceKey, UsageCounts)> {
         let theirs = self.peers.get(peer);
-        let theirs = theirs.filter(|told| self.heard.holds(told.at, now));
+        let theirs = theirs.filter(|told| self.heard.is_valid(told.at, now));
         let mut all = self.told(now);
         for key in self.own.workspaces() {
             all.entry(*key).or_default().add(self.own.sum(*key, now));
@@ -245,34 +248,36 @@
             all.entry(*key).or_default().take(*counts);
         }
         let all = all.into_iter();
-        all.filter(|(_, sum)| sum.asked > 0.0 || sum.given > 0.0)
+        all.filter(|(_, sum)| sum.requested > 0.0 || sum.served > 0.0)
             .collect()
     }
 
     /// Drops what is too old to count.
     pub fn forget(&mut self, now: Time) {
-        self.peers.retain(|_, told| self.heard.holds(told.at, now));
-        self.summary.take_if(|told| !self.heard.holds(told.at, now));
+        self.peers
+            .retain(|_, told| self.heard.is_valid(told.at, now));
+        self.summary
+            .take_if(|told| !self.heard.is_valid(told.at, now));
         self.own.forget(now);
     }
 
     /// Returns the counts of the peers that were heard of late.
-    fn heard(&self, now: Time) -> impl Iterator<Item = &HashMap<WorkspaceKey, Asked>> {
+    fn heard(&self, now: Time) -> impl Iterator<Item = &HashMap<WorkspaceKey, UsageCounts>> {
         let heard = self.peers.values();
-        let heard = heard.filter(move |told| self.heard.holds(told.at, now));
+        let heard = heard.filter(move |told| self.heard.is_valid(told.at, now));
         heard.map(|told| &told.counts)
     }
 
     /// Returns the counts of the last summary, where it counts.
-    fn summed(&self, now: Time) -> Option<&HashMap<WorkspaceKey, Asked>> {
+    fn summed(&self, now: Time) -> Option<&HashMap<WorkspaceKey, UsageCounts>> {
         let summary = self.summary.as_ref();
-        let summary = summary.filter(|told| self.heard.holds(told.at, now));
+        let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
         summary.map(|told| &told.counts)
     }
 
     /// Returns the counts of all other routers.
-    fn told(&self, now: Time) -> HashMap<WorkspaceKey, Asked> {
-        let mut all: HashMap<WorkspaceKey, Asked> = HashMap::new();
+    fn told(&self, now: Time) -> HashMap<WorkspaceKey, UsageCounts> {
+        let mut all: HashMap<WorkspaceKey, UsageCounts> = HashMap::new();
         for (key, counts) in self.heard(now).flatten() {
             all.entry(*key).or_default().add(*counts);
         }
@@ -284,15 +289,21 @@
     }
 
     /// Adds to what so many peers told of a workspace what is known of it here.
-    fn with_own(&self, key: WorkspaceKey, theirs: Asked, heard: usize, now: Time) -> Asked {
+    fn with_own(
+        &self,
+        key: WorkspaceKey,
+        theirs: UsageCounts,
+        heard: usize,
+        now: Time,
+    ) -> UsageCounts {
         let mut sum = self.own.sum(key, now);
         sum.add(theirs);
-        sum.lately += self.unheard(key, f64::from(theirs.lately), heard, now) as f32;
+        sum.recent += self.unheard(key, f64::from(theirs.recent), heard, now) as f32;
         sum
     }
 
-    fn sum(&self, workspace: WorkspaceKey, now: Time) -> Asked {
-        let mut theirs = Asked::default();
+    fn sum(&self, workspace: WorkspaceKey, now: Time) -> UsageCounts {
+        let mut theirs = UsageCounts::default();
         for counts in self.heard(now) {
             theirs.add(counts.get(&workspace).copied().unwrap_or_default());
         }
@@ -310,21 +321,21 @@
     /// little harm, as what is asked changes slowly. Judged by what it was given, a workspace
     /// above its part would get nothing for seconds and then, until all have heard of it, far too
     /// much.
-    pub fn standing(&mut self, workspace: WorkspaceKey, roll: f64, now: Time) -> Standing {
+    pub fn standing(&mut self, workspace: WorkspaceKey, roll: f64, now: Time) -> UsageStanding {
         if self.capacity <= 0.0 {
-            return Standing::default();
+            return UsageStanding::default();
         }
         let levels = self.levels(now);
         let sum = self.sum(workspace, now);
-        let lately = f64::from(sum.lately);
-        Standing {
-            share: f64::from(sum.given) / levels.stated.max(1.0),
-            even: match lately <= levels.actual {
+        let lately = f64::from(sum.recent);
+        UsageStanding {
+            share: f64::from(sum.served) / levels.stated.max(1.0),
+            max_min_ratio: match lately <= levels.actual {
                 true => 0.0,
                 false => roll * lately / levels.actual.max(1.0),
             },
-            asked: lately,
-            part: levels.actual,
+            demand: lately,
+            max_min_share: levels.actual,
         }
     }
 
@@ -340,14 +351,14 @@
             let sum = all.entry(*key).or_default();
             *sum = self.with_own(*key, *sum, heard, now);
         }
-        let asks: Vec<f64> = all.values().map(|a| f64::from(a.asked)).collect();
-        let lately: Vec<f64> = all.values().map(|a| f64::from(a.lately)).collect();
-        let given: f64 = all.values().map(|a| f64::from(a.given)).sum();
+        let asks: Vec<f64> = all.values().map(|a| f64::from(a.requested)).collect();
+        let lately: Vec<f64> = all.values().map(|a| f64::from(a.recent)).collect();
+        let given: f64 = all.values().map(|a| f64::from(a.served)).sum();
         let stated = self.capacity * self.own.length().as_secs();
         let part = LATELY.as_secs() / self.own.length().as_secs();
         let levels = Levels {
-            stated: level(&asks, stated),
-            actual: level(&lately, given.max(stated) * part),
+            stated: max_min_share(&asks, stated),
+            actual: max_min_share(&lately, given.max(stated) * part),
         };
         self.levels = Some((now, levels));
         levels
