--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -4,15 +4,15 @@
     super::{
         dump::dump_service,
         exchange::HOMES,
-        refuse::AFTER_NONE, //
+        reject::AFTER_NONE, //
     },
     crate::{
-        entry::{
+        pool::Bucket,
+        rendezvous,
+        service::{
             Entry,
             Live, //
         },
-        pool::Bucket,
-        rendezvous,
         shares::{
             ShareTable,
             Writer, //
--- a/crates/policy/src/dispatch/dump.rs
+++ b/crates/policy/src/dispatch/dump.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        entry::Entry,
         pool::Pool,
+        service::Entry,
         Mode,
         PeerState,
         ReplicaId,
--- a/crates/policy/src/dispatch/exchange.rs
+++ b/crates/policy/src/dispatch/exchange.rs
@@ -1,13 +1,13 @@
 //! What goes between routers: reports, lends and notes.
 
 use {
-    super::ranks::Place,
+    super::ownership::Place,
     crate::{
-        entry::{
+        rendezvous,
+        service::{
             Entry,
             ReplicaKey, //
         },
-        rendezvous,
         shares::Writer,
         Action,
         Dispatch,
--- a/crates/policy/src/dispatch/message.rs
+++ b/crates/policy/src/dispatch/message.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        entry::ReplicaKey,
+        service::ReplicaKey,
         shares::Notes,
         Span, //
     },
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -5,15 +5,14 @@
 mod dump;
 mod exchange;
 mod job;
-mod mates;
 mod member;
 mod message;
-mod ranks;
-mod refuse;
+mod ownership;
+mod peers;
+mod reject;
 mod rules;
 
 pub(crate) use self::{
-    mates::Mates,
     message::{
         service_key,
         Load,
@@ -21,6 +20,7 @@
         ServiceKey,
         Wait, //
     },
+    peers::Mates,
 };
 
 pub use self::{
--- a/crates/policy/src/dispatch/ranks.rs
+++ b/crates/policy/src/dispatch/ownership.rs
@@ -3,9 +3,9 @@
 use {
     super::exchange::HOMES,
     crate::{
-        entry::Entry,
         pool::Pool,
         rendezvous,
+        service::Entry,
         shares::Writer,
         Dispatch,
         Mode,
--- a/crates/policy/src/dispatch/refuse.rs
+++ b/crates/policy/src/dispatch/reject.rs
@@ -1,7 +1,7 @@
 //! Requests that are refused without a replica.
 
 use crate::{
-    entry::Live,
+    service::Live,
     Action,
     Dispatch,
     Job,
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -7,7 +7,6 @@
 pub mod actives;
 mod claim;
 mod dispatch;
-mod entry;
 mod eras;
 pub mod head;
 mod ids;
@@ -23,6 +22,7 @@
 pub mod retry;
 mod revision;
 mod roster;
+mod service;
 mod shares;
 pub mod tickets;
 mod time;
--- a/crates/policy/src/pool/hold.rs
+++ b/crates/policy/src/pool/client.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        body::{
+        report_body::{
             queued,
             Body, //
         },
@@ -16,7 +16,7 @@
             SlotGrant,
             Wait, //
         },
-        entry::{
+        service::{
             Queue,
             ReplicaKey,
             Seats, //
--- a/crates/policy/src/pool/borrower.rs
+++ b/crates/policy/src/pool/grantee.rs
@@ -7,7 +7,7 @@
             Report,
             Wait, //
         },
-        entry::ReplicaKey,
+        service::ReplicaKey,
         Incarnation,
         PeerState,
         Span,
--- a/crates/policy/src/pool/tell.rs
+++ b/crates/policy/src/pool/grants.rs
@@ -12,7 +12,7 @@
             SlotGrant,
             Wait, //
         },
-        entry::ReplicaKey,
+        service::ReplicaKey,
         Span,
         Time, //
     },
--- a/crates/policy/src/pool/mod.rs
+++ b/crates/policy/src/pool/mod.rs
@@ -1,34 +1,34 @@
 //! Slots of replicas, lent by an owner to the routers where work waits.
 
-mod body;
-mod borrower;
-mod bucket;
-mod cell;
-mod fill;
-mod hold;
-mod lot;
-mod moves;
+mod byte_budget;
+mod client;
+mod estimate;
+mod granted_slots;
+mod grantee;
+mod grants;
+mod liveness;
+mod owned_slots;
 mod owner;
-mod pace;
-mod tell;
-mod wants;
-mod watch;
+mod rebalance;
+mod report_body;
+mod targets;
+mod water_fill;
 
+pub(crate) use self::{
+    byte_budget::Bucket,
+    client::Hold,
+    owner::Pool, //
+};
 use self::{
-    borrower::Borrower,
-    cell::Cell,
-    fill::{
+    estimate::Pace, //
+    granted_slots::Cell,
+    grantee::Borrower,
+    owned_slots::Lot,
+    water_fill::{
         fill,
         Row, //
     },
-    lot::Lot,
-    pace::Pace, //
-};
-pub(crate) use self::{
-    bucket::Bucket,
-    hold::Hold,
-    owner::Pool, //
 };
 
 /// Limits of replicas, as last heard of.
-pub(crate) type Limits = std::collections::BTreeMap<crate::entry::ReplicaKey, u32>;
+pub(crate) type Limits = std::collections::BTreeMap<crate::service::ReplicaKey, u32>;
--- a/crates/policy/src/pool/lot.rs
+++ b/crates/policy/src/pool/owned_slots.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     dispatch::Load,
-    entry::ReplicaKey,
     limit::Limit,
+    service::ReplicaKey,
     Slots,
     Time,
     Zone, //
--- a/crates/policy/src/pool/owner.rs
+++ b/crates/policy/src/pool/owner.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        tell::Common,
+        grants::Common,
         Borrower,
         Bucket,
         Cell,
@@ -18,7 +18,7 @@
             SlotGrant,
             Wait, //
         },
-        entry::{
+        service::{
             ReplicaKey,
             Seats, //
         },
--- a/crates/policy/src/pool/moves.rs
+++ b/crates/policy/src/pool/rebalance.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        wants::Wants,
+        targets::Wants,
         Borrower,
         Pool, //
     },
--- a/crates/policy/src/pool/body.rs
+++ b/crates/policy/src/pool/report_body.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         dispatch::Wait,
-        entry::{
+        service::{
             Queue,
             ReplicaKey,
             Seat,
--- a/crates/policy/src/entry/refuse.rs
+++ b/crates/policy/src/service/admission.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        core::{
+        state::{
             Lives,
             Refused, //
         },
--- a/crates/policy/src/entry/mod.rs
+++ b/crates/policy/src/service/mod.rs
@@ -1,27 +1,27 @@
 //! The queues of one service at this router, and where their requests start.
 
-mod core;
+mod admission;
 mod drain;
 mod health;
-mod live;
 mod pick;
 mod queue;
-mod refuse;
+mod replicas;
+mod request;
 mod sample;
-mod seats;
+mod state;
 #[cfg(test)]
 mod tests;
 
 pub(crate) use self::{
-    core::Entry,
-    live::{
-        Live,
-        Run, //
-    },
     queue::Queue,
-    seats::{
+    replicas::{
         ReplicaKey,
         Seat,
         Seats, //
     },
+    request::{
+        Live,
+        Run, //
+    },
+    state::Entry,
 };
--- a/crates/policy/src/entry/pick.rs
+++ b/crates/policy/src/service/pick.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        core::Lives,
+        state::Lives,
         Entry,
         Queue,
         ReplicaKey,
--- a/crates/policy/src/entry/sample.rs
+++ b/crates/policy/src/service/sample.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     dispatch::Load,
-    entry::ReplicaKey,
+    service::ReplicaKey,
     Completion,
     Span, //
 };
--- a/crates/policy/src/entry/core.rs
+++ b/crates/policy/src/service/state.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        refuse::doomed,
+        admission::doomed,
         Live,
         Queue,
         Run,
