--- a/crates/policy/src/dispatch/action.rs
+++ b/crates/policy/src/dispatch/action.rs
@@ -1,4 +1,4 @@
-//! What a decision asks the process to do.
+//! Actions that the dispatcher asks the process to take.
 
 use crate::{
     JobId,
@@ -9,26 +9,26 @@
     Span, //
 };
 
-/// Something to be done now.
+/// An action to take now.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send the request to this replica.
     Start {
         /// The request.
         job: JobId,
-        /// Where it runs.
+        /// The replica that runs it.
         replica: ReplicaId,
     },
-    /// Refuse the request; it has not run.
+    /// Reject the request, which has not run.
     Reject {
         /// The request.
         job: JobId,
-        /// Why.
+        /// The reason.
         reason: Refusal,
-        /// When to come back.
+        /// When the caller may retry.
         retry_after: Span,
     },
-    /// Pass a message to another router.
+    /// Send a message to another router.
     Send {
         /// The router.
         to: RouterId,
--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -1,17 +1,17 @@
-//! The state of this part and its events.
+//! The state of the dispatcher and the events that change it.
 
 use {
     super::{
         dump::dump_service,
-        exchange::HOMES,
-        reject::AFTER_NONE, //
+        exchange::PREFERRED_ROUTERS,
+        reject::CLOSED_RETRY_AFTER, //
     },
     crate::{
-        pool::Bucket,
+        pool::ByteBudget,
         rendezvous,
         service::{
-            Entry,
-            Live, //
+            ActiveRequest, //
+            ServiceState,
         },
         shares::{
             ShareTable,
@@ -44,30 +44,30 @@
     },
 };
 
-/// A service without any work here is looked at this often.
-const CALM_TICK: Span = Span::millis(250);
+/// Interval between two checks of a service that has no work here.
+const IDLE_TICK: Span = Span::millis(250);
 
 /// Decides which request starts where and when.
 #[derive(Debug)]
 pub struct Dispatch {
     pub(super) me: Peer,
     pub(super) rules: Rules,
-    pub(super) lives: SlotMap<JobId, Live>,
-    pub(super) services: BTreeMap<ServiceId, Entry>,
+    pub(super) requests: SlotMap<JobId, ActiveRequest>,
+    pub(super) services: BTreeMap<ServiceId, ServiceState>,
     /// The other routers.
     pub(super) routers: BTreeMap<RouterId, Peer>,
-    /// Whether the list of routers was given at least once.
-    pub(super) listed: bool,
+    /// Whether the list of routers was received at least once.
+    pub(super) routers_known: bool,
     pub(super) leaving: bool,
     pub(super) actions: Vec<Action>,
-    /// When it was last looked for notes to be sent.
-    pub(super) exchanged: Time,
-    /// Bytes that notes may take.
-    pub(super) pacer: Bucket,
+    /// When due usage updates were last checked for.
+    pub(super) last_exchange: Time,
+    /// Limits the bytes of usage updates.
+    pub(super) usage_budget: ByteBudget,
 }
 
 impl Dispatch {
-    /// Makes the state of a router that knows nothing yet.
+    /// Creates the dispatcher of a router that has just started.
     ///
     /// # Examples
     ///
@@ -88,288 +88,289 @@
         Dispatch {
             me,
             rules: Rules::default(),
-            lives: SlotMap::with_key(),
+            requests: SlotMap::with_key(),
             services: BTreeMap::new(),
             routers: BTreeMap::new(),
-            listed: false,
+            routers_known: false,
             leaving: false,
             actions: Vec::new(),
-            exchanged: Time(0),
-            pacer: Bucket::default(),
+            last_exchange: Time(0),
+            usage_budget: ByteBudget::default(),
         }
     }
 
-    /// Puts rules in force. Requests of a service that is gone are refused.
+    /// Applies new rules. Queued requests of a removed service are rejected.
     pub fn configure(&mut self, rules: Rules, now: Time) {
         let writer = Writer::of(&self.me.id, self.me.incarnation);
-        let mut fresh = rules.mode != self.rules.mode;
+        let mut ownership_changed = rules.mode != self.rules.mode;
         let mut table: Option<(&Arc<Vec<WorkspaceShare>>, ShareTable)> = None;
         for r in &rules.services {
             let shares = match &table {
-                Some((of, shares)) if Arc::ptr_eq(of, &r.shares) => shares.clone(),
+                Some((list, shares)) if Arc::ptr_eq(list, &r.shares) => shares.clone(),
                 _ => ShareTable::of(&r.shares),
             };
             table = Some((&r.shares, shares.clone()));
             match self.services.get_mut(&r.service) {
-                Some(entry) => entry.configure(r, shares),
+                Some(state) => state.configure(r, shares),
                 None => {
-                    fresh = true;
-                    let entry = Entry::new(r.clone(), shares, writer);
-                    self.services.insert(r.service.clone(), entry);
+                    ownership_changed = true;
+                    let state = ServiceState::new(r.clone(), shares, writer);
+                    self.services.insert(r.service.clone(), state);
                 }
             }
         }
-        let gone: Vec<ServiceId> = self
+        let removed: Vec<ServiceId> = self
             .services
             .keys()
             .filter(|s| !rules.services.iter().any(|r| &r.service == *s))
             .cloned()
             .collect();
-        for service in gone {
-            self.refuse_queued(&service, Refusal::NoEndpoint, now);
+        for service in removed {
+            self.reject_queued(&service, Refusal::NoEndpoint, now);
             self.services.remove(&service);
         }
         self.rules = rules;
-        if fresh {
-            self.rank(now);
+        if ownership_changed {
+            self.update_ownership(now);
         } else {
-            self.pump_all(now);
+            self.schedule_all(now);
         }
     }
 
-    /// Takes over the list of a service's replicas.
+    /// Replaces the list of a service's replicas.
     pub fn set_replicas(&mut self, service: &ServiceId, list: Vec<Replica>, now: Time) {
-        if let Some(entry) = self.services.get_mut(service) {
-            entry.seats.replace(list);
+        if let Some(state) = self.services.get_mut(service) {
+            state.replica_slots.replace(list);
         }
-        self.reseat(service, now);
+        self.update_slots(service, now);
     }
 
-    /// Takes over the list of the other routers, which may be empty.
+    /// Replaces the list of the other routers, which may be empty.
     ///
-    /// Until it was called once, this router owns nothing and waits for slots: one that
-    /// has just started and knows of nobody yet would take all slots for its own.
+    /// Until the first call this router owns no pool and waits for slots: a router that has just
+    /// started and knows no peers would otherwise claim every slot for itself.
     pub fn set_routers(&mut self, list: Vec<Peer>, now: Time) {
-        self.listed = true;
+        self.routers_known = true;
         self.routers = list.into_iter().map(|p| (p.id.clone(), p)).collect();
-        self.rank(now);
+        self.update_ownership(now);
     }
 
-    /// Takes a request in. Its start or refusal is an action.
+    /// Accepts a request. Its start or rejection follows as an action.
     pub fn submit(&mut self, job: Job, now: Time) -> JobId {
         let service = job.service.clone();
         let known = self.services.contains_key(&service);
         if self.leaving || !known {
-            let why = self.closed();
-            return self.turn_away(job, why);
+            let why = self.closed_reason();
+            return self.reject_new(job, why);
         }
-        let entry = self
+        let state = self
             .services
             .get_mut(&service)
             .expect("the service is known");
-        let (id, refused) = entry.submit(job, self.rules.mode, &mut self.lives, now);
-        match refused {
+        let (id, rejected) = state.submit(job, self.rules.mode, &mut self.requests, now);
+        match rejected {
             Some((job, reason, retry_after)) => self.actions.push(Action::Reject {
                 job,
                 reason,
                 retry_after,
             }),
-            None => self.pump(&service, now),
+            None => self.schedule(&service, now),
         }
         id
     }
 
-    /// Queues a started request again, away from a replica.
+    /// Returns a started request to the queue, to be retried on another replica than `avoid`.
     ///
-    /// The caller knows that it surely did not run there, or that it is idempotent. Where
-    /// it can't wait any more, and not start either, it is refused at once.
+    /// The caller makes sure that the request didn't run there or is idempotent. If this router
+    /// can neither queue nor start it, the request is rejected at once.
     pub fn requeue(&mut self, id: JobId, avoid: &ReplicaId, now: Time) {
-        let Some(live) = self.lives.get_mut(id) else {
+        let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        let service = live.job.service.clone();
+        let service = request.job.service.clone();
         let failed = Completion {
             refund: true,
             ..Completion::default()
         };
-        let entry = self.services.get_mut(&service);
-        let entry = entry.and_then(|entry| {
-            entry.end(live, Some(&failed), now);
-            entry.seats.any_open().then_some(entry)
+        let state = self.services.get_mut(&service);
+        let state = state.and_then(|state| {
+            state.end(request, Some(&failed), now);
+            state.replica_slots.any_available().then_some(state)
         });
-        // Nothing would ever be decided about a request that waits where nothing starts
-        // any more: its service is gone, or this router leaves.
-        let waits = match entry {
-            Some(entry) => {
-                live.avoid = Some(avoid.clone());
-                entry.enqueue(id, live, now);
-                self.pump(&service, now);
-                self.leaving && self.lives[id].run.is_none()
+        // Where nothing starts any more, because the service was removed or this router is
+        // shutting down, a queued request would never be decided on.
+        let stuck = match state {
+            Some(state) => {
+                request.avoid = Some(avoid.clone());
+                state.enqueue(id, request, now);
+                self.schedule(&service, now);
+                self.leaving && self.requests[id].run.is_none()
             }
             None => true,
         };
-        if waits {
-            self.refuse(id, self.closed(), AFTER_NONE, now);
-            self.pump(&service, now);
+        if stuck {
+            self.reject(id, self.closed_reason(), CLOSED_RETRY_AFTER, now);
+            self.schedule(&service, now);
         }
     }
 
-    /// Forgets a request that its caller gave up, queued or running.
+    /// Removes a request, queued or running, that its caller has cancelled.
     ///
-    /// What a running one has received stays charged.
+    /// The service that a running request has received stays charged.
     pub fn cancel(&mut self, id: JobId, now: Time) {
-        let Some(mut live) = self.lives.remove(id) else {
+        let Some(mut request) = self.requests.remove(id) else {
             return;
         };
-        let service = live.job.service.clone();
-        if let Some(entry) = self.services.get_mut(&service) {
-            match live.run {
-                Some(_) => entry.end(&mut live, None, now),
-                None => entry.unqueue(id, &live, now),
+        let service = request.job.service.clone();
+        if let Some(state) = self.services.get_mut(&service) {
+            match request.run {
+                Some(_) => state.end(&mut request, None, now),
+                None => state.dequeue(id, &request, now),
             }
         }
-        self.pump(&service, now);
+        self.schedule(&service, now);
     }
 
-    /// Notes how much a running request has received so far.
-    pub fn record_progress(&mut self, id: JobId, served: Units, _now: Time) {
-        let Some(live) = self.lives.get_mut(id) else {
+    /// Records how much service a running request has received so far.
+    pub fn record_progress(&mut self, id: JobId, received: Units, _now: Time) {
+        let Some(request) = self.requests.get_mut(id) else {
             return;
         };
-        if let Some(entry) = self.services.get_mut(&live.job.service) {
-            entry.progress(live, served);
+        if let Some(state) = self.services.get_mut(&request.job.service) {
+            state.record_progress(request, received);
         }
     }
 
-    /// Notes tokens that a running request has received, and how long after its last ones.
+    /// Records tokens that a running request has received, and the time since its previous ones.
     ///
-    /// The limit of a replica is learnt from these. A mean over whole requests would tell
-    /// seconds late what a change of the limit has changed.
+    /// The concurrency limit of the replica is learnt from these. Means over complete requests
+    /// would show the effect of a changed limit only seconds later.
     pub fn record_tokens(&mut self, id: JobId, count: u32, took: Span) {
-        let Some(live) = self.lives.get(id) else {
+        let Some(request) = self.requests.get(id) else {
             return;
         };
-        if let Some(entry) = self.services.get_mut(&live.job.service) {
-            entry.tokens(live, count, took);
+        if let Some(state) = self.services.get_mut(&request.job.service) {
+            state.record_tokens(request, count, took);
         }
     }
 
     /// Ends a started request.
     pub fn finish(&mut self, id: JobId, f: Completion, now: Time) {
-        let Some(mut live) = self.lives.remove(id) else {
+        let Some(mut request) = self.requests.remove(id) else {
             return;
         };
-        let service = live.job.service.clone();
-        if let Some(entry) = self.services.get_mut(&service) {
-            entry.end(&mut live, Some(&f), now);
+        let service = request.job.service.clone();
+        if let Some(state) = self.services.get_mut(&service) {
+            state.end(&mut request, Some(&f), now);
         }
-        self.pump(&service, now);
+        self.schedule(&service, now);
     }
 
-    /// Stops new work on a replica that was seen to leave.
+    /// Stops new work on a replica that announced its shutdown.
     pub fn withdraw(&mut self, replica: &ReplicaId, now: Time) {
-        let mut of = None;
-        for (service, entry) in &mut self.services {
-            if let Some(seat) = entry.seats.all.get_mut(replica) {
-                seat.withdrawn = true;
-                of = Some(service.clone());
+        let mut affected = None;
+        for (service, state) in &mut self.services {
+            if let Some(slots) = state.replica_slots.all.get_mut(replica) {
+                slots.withdrawn = true;
+                affected = Some(service.clone());
             }
         }
-        if let Some(service) = of {
-            self.reseat(&service, now);
+        if let Some(service) = affected {
+            self.update_slots(&service, now);
         }
     }
 
-    /// Takes in what a replica says of itself, some time after it was true: how many
-    /// requests run on it and how many wait inside it.
+    /// Records a load report of a replica, which lags: the requests that run on it and those
+    /// that wait inside it.
     pub fn record_load(&mut self, replica: &ReplicaId, running: u32, waiting: u32, _now: Time) {
-        for entry in self.services.values_mut() {
-            if let Some(seat) = entry.seats.all.get_mut(replica) {
-                seat.sample.said = Some((running, waiting));
+        for state in self.services.values_mut() {
+            if let Some(slots) = state.replica_slots.all.get_mut(replica) {
+                slots.sample.self_reported = Some((running, waiting));
             }
         }
     }
 
-    /// Does what has become due. Call it every 10 ms or so.
+    /// Does the work that is due. To be called about every 10 ms.
     pub fn tick(&mut self, now: Time) {
         let services: Vec<ServiceId> = self.services.keys().cloned().collect();
         for service in services {
-            let entry = self.services.get_mut(&service).expect("listed above");
-            if entry.calm() && now.since(entry.ticked) < CALM_TICK {
+            let state = self.services.get_mut(&service).expect("listed above");
+            if state.is_idle() && now.since(state.last_tick) < IDLE_TICK {
                 continue;
             }
-            entry.ticked = now;
-            entry.forget_idle(now);
-            for refused in entry.overdue(&self.lives, now) {
-                self.refuse(refused.0, refused.1, refused.2, now);
+            state.last_tick = now;
+            state.forget_idle(now);
+            for rejected in state.overdue(&self.requests, now) {
+                self.reject(rejected.0, rejected.1, rejected.2, now);
             }
-            self.pump(&service, now);
+            self.schedule(&service, now);
         }
-        self.exchange(now);
+        self.exchange_usage(now);
     }
 
-    /// Begins the shutdown of this router: nothing new is taken in.
+    /// Begins the shutdown of this router: it accepts no new requests.
     ///
-    /// What is queued is refused as not run; what runs goes on.
+    /// Queued requests are rejected as not run; running ones continue.
     pub fn leave(&mut self, now: Time) {
         self.leaving = true;
         let services: Vec<ServiceId> = self.services.keys().cloned().collect();
         for service in services {
-            self.refuse_queued(&service, Refusal::Leaving, now);
+            self.reject_queued(&service, Refusal::Leaving, now);
         }
-        self.rank(now);
+        self.update_ownership(now);
     }
 
-    /// Returns what is to be done, in order.
+    /// Takes the pending actions, in order.
     pub fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Returns which routers hold how many slots of a service.
+    /// Returns the routers that callers of a service should use, with the slots expected at each.
     pub fn preferred_routers(&self, service: &ServiceId) -> Vec<PreferredRouter> {
-        let Some(entry) = self.services.get(service) else {
+        let Some(state) = self.services.get(service) else {
             return Vec::new();
         };
-        let live = self.live();
-        let live = rendezvous::top(service.as_str(), live, HOMES, |id| id.as_str());
-        let slots = Slots(entry.capacity().div_ceil(live.len().max(1) as u32));
+        let live = self.live_routers();
+        let live = rendezvous::top(service.as_str(), live, PREFERRED_ROUTERS, |id| id.as_str());
+        let slots = Slots(state.capacity().div_ceil(live.len().max(1) as u32));
         live.into_iter()
             .map(|router| PreferredRouter { router, slots })
             .collect()
     }
 
-    /// Returns how many requests run from here.
+    /// Returns the number of requests that run from here.
     pub fn running(&self) -> usize {
-        self.lives.values().filter(|l| l.run.is_some()).count()
+        self.requests.values().filter(|l| l.run.is_some()).count()
     }
 
-    /// Returns the state of this part, as operators read it.
+    /// Returns the state of the dispatcher for operators.
     pub fn dump(&self) -> DispatchDump {
         DispatchDump {
             mode: self.rules.mode,
             leaving: self.leaving,
-            queued: self.services.values().map(Entry::queued).sum(),
+            queued: self.services.values().map(ServiceState::queued).sum(),
             running: self.running(),
             services: self.services.values().map(dump_service).collect(),
         }
     }
 
-    /// Starts what may start at a service.
-    pub(super) fn pump(&mut self, service: &ServiceId, now: Time) {
-        self.start(service, now);
+    /// Starts the requests of a service that may start, and sends its due pool messages.
+    pub(super) fn schedule(&mut self, service: &ServiceId, now: Time) {
+        self.start_requests(service, now);
         if self.rules.mode == Mode::Fleet {
-            self.flush(service, now);
+            self.send_pool_messages(service, now);
         }
     }
 
-    pub(super) fn start(&mut self, service: &ServiceId, now: Time) {
-        let Some(entry) = self.services.get_mut(service) else {
+    pub(super) fn start_requests(&mut self, service: &ServiceId, now: Time) {
+        let Some(state) = self.services.get_mut(service) else {
             return;
         };
-        entry.note_waits(now);
-        while let Some((id, replica)) = entry.next(self.rules.mode, &self.lives, &self.me.zone, now)
+        state.mark_backlogged(now);
+        while let Some((id, replica)) =
+            state.next_request(self.rules.mode, &self.requests, &self.me.zone, now)
         {
-            entry.start(id, &mut self.lives[id], &replica, now);
+            state.start(id, &mut self.requests[id], &replica, now);
             self.actions.push(Action::Start { job: id, replica });
         }
     }
--- a/crates/policy/src/dispatch/dump.rs
+++ b/crates/policy/src/dispatch/dump.rs
@@ -1,9 +1,9 @@
-//! The state of this part, as operators read it.
+//! The state of the dispatcher, as operators see it.
 
 use {
     crate::{
         pool::Pool,
-        service::Entry,
+        service::ServiceState,
         Mode,
         PeerState,
         ReplicaId,
@@ -19,10 +19,10 @@
     },
 };
 
-/// All of it.
+/// State of the dispatcher.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DispatchDump {
-    /// How capacity is shared.
+    /// How routers share capacity.
     pub mode: Mode,
     /// Whether this router is shutting down.
     pub leaving: bool,
@@ -30,7 +30,7 @@
     pub queued: usize,
     /// Requests running from here.
     pub running: usize,
-    /// Each service.
+    /// The services.
     pub services: Vec<ServiceDump>,
 }
 
@@ -39,33 +39,34 @@
 pub struct ServiceDump {
     /// Its name.
     pub service: ServiceId,
-    /// The router that lends its slots, where one is known.
+    /// The router that grants its slots, if known.
     pub owner: Option<RouterId>,
-    /// Whether work is known to wait at some router.
-    pub pressed: bool,
+    /// Whether requests are queued at any router.
+    #[serde(rename = "pressed")]
+    pub contended: bool,
     /// Workspaces with queued requests here.
     pub queues: Vec<QueueDump>,
     /// Its replicas.
     pub replicas: Vec<ReplicaDump>,
-    /// What each router holds of it, where this router owns the pool.
+    /// The slots of each router, if this router owns the pool.
     pub routers: Vec<GranteeDump>,
 }
 
-/// A router, as the owner of a pool sees it.
+/// A router that holds slots, as the owner of the pool sees it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GranteeDump {
     /// Its name.
     pub router: RouterId,
-    /// What is believed of it.
+    /// Its membership state.
     pub state: PeerState,
-    /// Slots that it was lent.
+    /// Slots granted to it.
     #[serde(rename = "lent")]
     pub granted: Slots,
-    /// Slots that it keeps by its last report.
+    /// Slots that it keeps, by its last report.
     pub kept: Slots,
-    /// Requests that run from it.
+    /// Requests that it runs.
     pub running: Slots,
-    /// Requests that wait there, rounded.
+    /// Requests queued there, rounded.
     pub waiting: usize,
 }
 
@@ -74,7 +75,7 @@
 pub struct QueueDump {
     /// The workspace.
     pub workspace: WorkspaceId,
-    /// Requests that wait.
+    /// Requests queued.
     pub queued: usize,
     /// Normalised service received across the fleet, as known here.
     pub service: Units,
@@ -87,50 +88,50 @@
     pub replica: ReplicaId,
     /// Whether it gets no new work.
     pub leaving: bool,
-    /// Requests that this router may run on it at once.
+    /// Requests that this router may run on it concurrently.
     pub allowed: Slots,
     /// Requests that this router runs on it.
     pub running: Slots,
-    /// Its learnt limit, where this router owns it.
+    /// Its learnt concurrency limit, if this router owns the pool.
     pub limit: Option<Slots>,
 }
 
-/// A router that holds slots of a service.
+/// A router that callers of a service should use.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PreferredRouter {
     /// The router.
     pub router: RouterId,
-    /// How many slots callers may expect there.
+    /// Number of slots that callers may expect there.
     pub slots: Slots,
 }
 
-pub(super) fn dump_service(entry: &Entry) -> ServiceDump {
+pub(super) fn dump_service(state: &ServiceState) -> ServiceDump {
     ServiceDump {
-        service: entry.rules.service.clone(),
-        owner: entry.hold.owner.as_ref().map(|o| o.0.clone()),
-        pressed: entry.hold.pressed,
-        queues: entry
+        service: state.rules.service.clone(),
+        owner: state.pool_client.owner.as_ref().map(|o| o.0.clone()),
+        contended: state.pool_client.contended,
+        queues: state
             .queues
             .iter()
             .filter(|(_, q)| !q.is_empty())
             .map(|(key, q)| QueueDump {
                 workspace: q.workspace.clone(),
                 queued: q.len(),
-                service: Units(entry.ledger.level(*key) as f64 / 1000.0),
+                service: Units(state.ledger.level(*key) as f64 / 1000.0),
             })
             .collect(),
-        replicas: entry
-            .seats
+        replicas: state
+            .replica_slots
             .all
             .values()
             .map(|s| ReplicaDump {
                 replica: s.replica.id.clone(),
-                leaving: !s.open(),
+                leaving: !s.accepts_work(),
                 allowed: Slots(s.allowed),
                 running: Slots(s.running),
-                limit: entry.pool.as_ref().and_then(|p| p.limit(s.key)),
+                limit: state.pool.as_ref().and_then(|p| p.limit(s.key)),
             })
             .collect(),
-        routers: entry.pool.as_ref().map(Pool::dump).unwrap_or_default(),
+        routers: state.pool.as_ref().map(Pool::dump).unwrap_or_default(),
     }
 }
--- a/crates/policy/src/dispatch/exchange.rs
+++ b/crates/policy/src/dispatch/exchange.rs
@@ -1,12 +1,12 @@
-//! What goes between routers: reports, lends and notes.
+//! Exchange of reports, slot grants and usage updates between routers.
 
 use {
-    super::ownership::Place,
+    super::ownership::RouterPosition,
     crate::{
         rendezvous,
         service::{
-            Entry,
             ReplicaKey, //
+            ServiceState,
         },
         shares::Writer,
         Action,
@@ -23,23 +23,23 @@
     },
 };
 
-/// Bytes a second that one router may send as notes.
-const BUDGET: f64 = 3_000.0;
-/// Most bytes that may be saved up.
-const BURST: f64 = 3_000.0;
-/// Shortest time between two notes about one service to one router.
-const NOTES: Span = Span::secs(1);
-/// The owner splits the slots, so it is told sooner, and tells the others sooner.
-const NOTES_OWNER: Span = Span::millis(200);
-/// Time between two looks for notes to be sent.
-const EXCHANGE: Span = Span::millis(50);
-/// Most routers that callers of one service are pointed to.
-pub(super) const HOMES: usize = 14;
-/// Times that a lend to itself may lead to another.
-const ROUNDS: usize = 4;
+/// Rate at which one router may send usage updates.
+const USAGE_BYTES_PER_SEC: f64 = 3_000.0;
+/// Bytes that may be sent in a burst.
+const USAGE_BURST_BYTES: f64 = 3_000.0;
+/// Minimum interval between two usage updates about one service to one router.
+const USAGE_INTERVAL: Span = Span::secs(1);
+/// Minimum interval to and from the owner of the pool, which splits the slots by usage.
+const OWNER_USAGE_INTERVAL: Span = Span::millis(200);
+/// Interval between two checks for due usage updates.
+const USAGE_CHECK_INTERVAL: Span = Span::millis(50);
+/// Maximum number of routers that callers of one service are directed to.
+pub(super) const PREFERRED_ROUTERS: usize = 14;
+/// Maximum number of grants to this router itself in one step, as each may lead to another.
+const SELF_GRANT_ROUNDS: usize = 4;
 
 impl Dispatch {
-    /// Takes in a message of another router.
+    /// Processes a message from another router.
     pub fn deliver(&mut self, from: &RouterId, incarnation: Incarnation, msg: Message, now: Time) {
         if self.rules.mode != Mode::Fleet {
             return;
@@ -49,80 +49,89 @@
         let Some(service) = service.map(|(s, _)| s.clone()) else {
             return;
         };
-        let Some(entry) = self.services.get_mut(&service) else {
+        let Some(state) = self.services.get_mut(&service) else {
             return;
         };
-        entry.mates.hear(from, now);
+        state.peers.record_received(from, now);
         match msg {
             Message::Report(r) => {
-                if let Some(pool) = &mut entry.pool {
-                    pool.report(from, incarnation, r, now);
+                if let Some(pool) = &mut state.pool {
+                    pool.apply_report(from, incarnation, r, now);
                 }
             }
-            Message::SlotGrant(l) => {
-                for (key, level) in entry.hold.levels(from, incarnation, &l) {
-                    entry.ledger.hear(key, level, now);
+            Message::SlotGrant(g) => {
+                for (key, virtual_time) in
+                    state
+                        .pool_client
+                        .granted_virtual_times(from, incarnation, &g)
+                {
+                    state.ledger.hear(key, virtual_time, now);
                 }
-                entry
-                    .hold
-                    .lend(from, incarnation, &l, &mut entry.seats, now);
+                state
+                    .pool_client
+                    .apply_grant(from, incarnation, &g, &mut state.replica_slots, now);
             }
             Message::Notes(n) => {
-                let debt = entry.pool.as_ref().and_then(|p| p.debt(&entry.rules));
+                let debt = state.pool.as_ref().and_then(|p| p.debt(&state.rules));
                 let writer = Writer::of(from, incarnation);
-                entry.ledger.merge(writer, n, debt);
+                state.ledger.merge(writer, n, debt);
             }
         }
-        self.pump(&service, now);
+        self.schedule(&service, now);
     }
 
-    /// Sends the reports and lends of a service that are due.
-    pub(super) fn flush(&mut self, service: &ServiceId, now: Time) {
-        for _ in 0..ROUNDS {
-            let Some(entry) = self.services.get_mut(service) else {
+    /// Sends the due reports and slot grants of a service.
+    pub(super) fn send_pool_messages(&mut self, service: &ServiceId, now: Time) {
+        for _ in 0..SELF_GRANT_ROUNDS {
+            let Some(state) = self.services.get_mut(service) else {
                 return;
             };
-            let shuns = entry.shunned(&self.lives, now);
-            let out = entry.speak(&self.me, shuns, self.leaving, now);
+            let avoided = state.avoided_replicas(&self.requests, now);
+            let out = state.pool_messages(&self.me, avoided, self.leaving, now);
             self.actions.extend(out.sends);
-            if !out.lent {
+            if !out.self_granted {
                 return;
             }
-            self.start(service, now);
+            self.start_requests(service, now);
         }
     }
 
-    /// Sends the notes that are due, and uses the static fraction where no owner answers.
-    pub(super) fn exchange(&mut self, now: Time) {
-        if self.rules.mode != Mode::Fleet || now.since(self.exchanged) < EXCHANGE {
+    /// Sends the due usage updates, and falls back to static shares where no owner answers.
+    pub(super) fn exchange_usage(&mut self, now: Time) {
+        if self.rules.mode != Mode::Fleet || now.since(self.last_exchange) < USAGE_CHECK_INTERVAL {
             return;
         }
-        self.exchanged = now;
-        let live = self.live();
-        let place = Place::of(&live, &self.me.id);
-        for entry in self.services.values_mut().filter(|e| !e.calm()) {
-            entry.tend(&place, now);
+        self.last_exchange = now;
+        let live = self.live_routers();
+        let position = RouterPosition::of(&live, &self.me.id);
+        for state in self.services.values_mut().filter(|e| !e.is_idle()) {
+            state.maintain(&position, now);
         }
-        self.pacer.refill(BUDGET, BURST, now);
-        let mut due = self.due_notes(&live, now);
+        self.usage_budget
+            .refill(USAGE_BYTES_PER_SEC, USAGE_BURST_BYTES, now);
+        let mut due = self.due_usage_updates(&live, now);
         due.sort();
         for (_, service, to, relay) in due {
-            if !self.pacer.open() {
+            if !self.usage_budget.has_bytes() {
                 return;
             }
-            self.note(service, to, relay, now);
+            self.send_usage_update(service, to, relay, now);
         }
     }
 
-    /// Returns which notes may be sent, the longest unsent first.
-    fn due_notes(&self, live: &[RouterId], now: Time) -> Vec<(Time, ServiceId, RouterId, bool)> {
+    /// Returns the usage updates that may be sent, the longest unsent first.
+    fn due_usage_updates(
+        &self,
+        live: &[RouterId],
+        now: Time,
+    ) -> Vec<(Time, ServiceId, RouterId, bool)> {
         let mut due = Vec::new();
-        for (service, entry) in &self.services {
-            if entry.ledger.is_empty() {
+        for (service, service_state) in &self.services {
+            if service_state.ledger.is_empty() {
                 continue;
             }
-            let owner = entry.hold.owner.as_ref().map(|o| &o.0);
-            for id in entry.mates.ids() {
+            let owner = service_state.pool_client.owner.as_ref().map(|o| &o.0);
+            for id in service_state.peers.ids() {
                 let Some(p) = self
                     .routers
                     .get(id)
@@ -130,78 +139,101 @@
                 else {
                     continue;
                 };
-                let close = owner == Some(id) || owner == Some(&self.me.id);
-                let interval = if close { NOTES_OWNER } else { NOTES };
-                if !entry.mates.rested(id, entry.ledger.rev(), interval, now) {
+                let owner_involved = owner == Some(id) || owner == Some(&self.me.id);
+                let interval = if owner_involved {
+                    OWNER_USAGE_INTERVAL
+                } else {
+                    USAGE_INTERVAL
+                };
+                if !service_state
+                    .peers
+                    .is_due(id, service_state.ledger.rev(), interval, now)
+                {
                     continue;
                 }
                 let writer = Writer::of(id, p.incarnation);
-                let relay = entry.ledger.is_new(writer) && self.relays_to(id, live);
-                if entry.ledger.owes(writer, relay) {
-                    let told = entry.mates.told(id).unwrap_or_default();
-                    due.push((told, service.clone(), id.clone(), relay));
+                let relay = service_state.ledger.is_new(writer) && self.relays_usage_to(id, live);
+                if service_state.ledger.owes(writer, relay) {
+                    let sent_at = service_state.peers.last_sent(id).unwrap_or_default();
+                    due.push((sent_at, service.clone(), id.clone(), relay));
                 }
             }
         }
         due
     }
 
-    /// Sends the notes about one service to one router, if there are any.
-    fn note(&mut self, service: ServiceId, to: RouterId, relay: bool, now: Time) {
-        let (Some(entry), Some(peer)) = (self.services.get_mut(&service), self.routers.get(&to))
+    /// Sends a usage update about one service to one router, if there is anything to send.
+    fn send_usage_update(&mut self, service: ServiceId, to: RouterId, relay: bool, now: Time) {
+        let (Some(state), Some(peer)) = (self.services.get_mut(&service), self.routers.get(&to))
         else {
             return;
         };
         let writer = Writer::of(&to, peer.incarnation);
-        let Some(n) = entry.ledger.notes(entry.key, writer, relay) else {
+        let Some(n) = state.ledger.notes(state.key, writer, relay) else {
             return;
         };
-        self.pacer.spend(n.size());
-        entry.mates.tell(&to, entry.ledger.rev(), now);
+        self.usage_budget.spend(n.size());
+        state.peers.record_sent(&to, state.ledger.rev(), now);
         self.actions.push(Action::Send {
             to,
             msg: Message::Notes(n),
         });
     }
 
-    /// Returns whether this router tells a new one what it knows of all others.
-    fn relays_to(&self, to: &RouterId, live: &[RouterId]) -> bool {
+    /// Returns whether this router relays the usage of all others to a new router.
+    fn relays_usage_to(&self, to: &RouterId, live: &[RouterId]) -> bool {
         let rest = live.iter().filter(|id| *id != to);
-        let first = rendezvous::top(to.as_str(), rest, RELAYS, |id| id.as_str());
-        first.contains(&&self.me.id)
+        let relays = rendezvous::top(to.as_str(), rest, RELAY_COUNT, |id| id.as_str());
+        relays.contains(&&self.me.id)
     }
 }
 
-/// How many routers tell a new one what they know of all others.
-const RELAYS: usize = 2;
+/// Number of routers that relay the usage of all others to a new router.
+const RELAY_COUNT: usize = 2;
 
-/// What one service has to say.
-struct Out {
+/// The pool messages of one service.
+struct PoolMessages {
     sends: Vec<Action>,
-    /// Whether this router lent itself something new.
-    lent: bool,
+    /// Whether this router, as the owner, granted itself different slots.
+    self_granted: bool,
 }
 
-impl Entry {
-    /// Returns what is to be told to whom about slots.
-    fn speak(&mut self, me: &Peer, shuns: Vec<ReplicaKey>, leaving: bool, now: Time) -> Out {
-        let mut out = Out {
+impl ServiceState {
+    /// Returns the due reports and slot grants.
+    fn pool_messages(
+        &mut self,
+        me: &Peer,
+        avoided: Vec<ReplicaKey>,
+        leaving: bool,
+        now: Time,
+    ) -> PoolMessages {
+        let mut out = PoolMessages {
             sends: Vec::new(),
-            lent: false,
+            self_granted: false,
         };
-        self.hold.give_back(&self.queues, &mut self.seats, leaving);
-        self.hold.shun(&mut self.seats, &shuns, now);
+        self.pool_client
+            .release_unused(&self.queues, &mut self.replica_slots, leaving);
+        self.pool_client
+            .release_avoided(&mut self.replica_slots, &avoided, now);
         let local = self.pool.is_some();
-        let report = self
-            .hold
-            .report(self.key, &self.queues, &mut self.seats, shuns, local, now);
-        if let (Some(mut r), Some((to, _))) = (report, self.hold.owner.clone()) {
-            if self.hold.loads_due(self.seats.all.len(), now) {
-                self.hold.loads_sent(now);
-                r.loads = Some(self.loads());
+        let report = self.pool_client.report(
+            self.key,
+            &self.queues,
+            &mut self.replica_slots,
+            avoided,
+            local,
+            now,
+        );
+        if let (Some(mut r), Some((to, _))) = (report, self.pool_client.owner.clone()) {
+            if self
+                .pool_client
+                .loads_due(self.replica_slots.all.len(), now)
+            {
+                self.pool_client.record_loads_sent(now);
+                r.loads = Some(self.take_loads());
             }
             match &mut self.pool {
-                Some(pool) => pool.report(&me.id, me.incarnation, r, now),
+                Some(pool) => pool.apply_report(&me.id, me.incarnation, r, now),
                 None => out.sends.push(Action::Send {
                     to,
                     msg: Message::Report(r),
@@ -212,30 +244,38 @@
             return out;
         };
         pool.plan(&self.ledger, now);
-        for (to, lend) in pool.lends(&me.id, &self.ledger, now) {
+        for (to, grant) in pool.due_grants(&me.id, &self.ledger, now) {
             if to == me.id {
-                out.lent |= self
-                    .hold
-                    .lend(&to, me.incarnation, &lend, &mut self.seats, now);
+                out.self_granted |= self.pool_client.apply_grant(
+                    &to,
+                    me.incarnation,
+                    &grant,
+                    &mut self.replica_slots,
+                    now,
+                );
             } else {
-                let msg = Message::SlotGrant(lend);
+                let msg = Message::SlotGrant(grant);
                 out.sends.push(Action::Send { to, msg });
             }
         }
         out
     }
 
-    /// Does what is due now and then.
-    fn tend(&mut self, place: &Place, now: Time) {
+    /// Does periodic work: ages the usage ledger and falls back to the static share if the owner
+    /// is unreachable.
+    fn maintain(&mut self, position: &RouterPosition, now: Time) {
         self.ledger.watch(now);
         if let Some(pool) = &self.pool {
             if let Some(debt) = pool.debt(&self.rules) {
                 self.ledger.forgive(debt);
             }
         }
-        if self.hold.deaf(now) {
-            self.seats
-                .allot(self.rules.start.0, place.rank, place.routers);
+        if self.pool_client.owner_unreachable(now) {
+            self.replica_slots.set_static_share(
+                self.rules.start.0,
+                position.rank,
+                position.routers,
+            );
         }
     }
 }
--- a/crates/policy/src/dispatch/job.rs
+++ b/crates/policy/src/dispatch/job.rs
@@ -1,4 +1,4 @@
-//! One request on its way through a router.
+//! A request as the dispatcher sees it.
 
 use {
     crate::{
@@ -13,44 +13,44 @@
 };
 
 new_key_type! {
-    /// A request that this router has accepted and not yet ended.
+    /// Identifies a request from its acceptance to its end.
     pub struct JobId;
 }
 
-/// What is known of a request when it arrives.
+/// Properties of a request at its arrival.
 #[derive(Debug, Clone)]
 pub struct Job {
-    /// The service asked for.
+    /// The requested service.
     pub service: ServiceId,
-    /// The workspace that it is charged to.
+    /// The workspace to charge.
     pub workspace: WorkspaceId,
     /// When it arrived.
     pub arrived: Time,
     /// When its answer must be complete.
     pub deadline: Time,
-    /// How urgent its profile is, from 0 to 9.
+    /// Urgency of its profile, from 0 to 9.
     pub urgency: u8,
-    /// Rough cost, known beforehand.
+    /// Estimated cost.
     pub hint: Units,
     /// Share of its profile, which divides the charge.
     pub share: Share,
-    /// Rough time that it runs; zero where nothing is known.
+    /// Estimated run time; zero if unknown.
     pub expected_run: Span,
-    /// Hash of its prompt's prefix, for replicas that cache it.
+    /// Hash of the prompt's prefix, for replicas that cache it.
     pub prefix: Option<u64>,
 }
 
 /// How a started request ended at its replica.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Completion {
-    /// All the service it received.
+    /// Total service received.
     pub units: Units,
     /// Time from its start to the first byte of the answer.
     pub first_byte: Option<Span>,
-    /// Mean time between two tokens, unless they were told as they came.
+    /// Mean time between two tokens, unless recorded while they arrived.
     pub token_gap: Option<Span>,
     /// Whether the replica showed no sign of overload or failure.
     pub ok: bool,
-    /// Whether nothing was served, so that its charge is taken back.
+    /// Whether nothing was served, so that the charge is refunded.
     pub refund: bool,
 }
--- a/crates/policy/src/dispatch/member.rs
+++ b/crates/policy/src/dispatch/member.rs
@@ -1,4 +1,4 @@
-//! Routers and replicas, as this part sees them.
+//! Routers and replicas, as the dispatcher sees them.
 
 use {
     crate::{
@@ -14,15 +14,15 @@
     },
 };
 
-/// What is believed of a router.
+/// Membership state of a router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PeerState {
-    /// It is heard from.
+    /// Its messages arrive.
     Live,
-    /// It was not heard from for a while.
+    /// It has been silent for a while.
     Suspect,
-    /// It said that it is leaving, or the platform's list says so.
+    /// It announced its shutdown, or the platform's list says so.
     Leaving,
 }
 
@@ -31,11 +31,11 @@
 pub struct Peer {
     /// Its name.
     pub id: RouterId,
-    /// Which start of it.
+    /// Incarnation of the process.
     pub incarnation: Incarnation,
     /// Where it runs.
     pub zone: Zone,
-    /// What is believed of it.
+    /// Its membership state.
     pub state: PeerState,
 }
 
@@ -44,10 +44,10 @@
 pub struct Replica {
     /// Its name.
     pub id: ReplicaId,
-    /// The service that it offers.
+    /// The service that it provides.
     pub service: ServiceId,
     /// Where it runs.
     pub zone: Zone,
-    /// Whether it is leaving and gets no new work.
+    /// Whether it is shutting down and gets no new work.
     pub leaving: bool,
 }
--- a/crates/policy/src/dispatch/message.rs
+++ b/crates/policy/src/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other about shares and capacity.
+//! Messages between routers about slots and service received.
 
 use {
     crate::{
@@ -12,16 +12,16 @@
     },
 };
 
-/// A service, by a short hash of its name.
+/// Short hash of a service name.
 pub(crate) type ServiceKey = u32;
 
-/// Rough bytes of a lend, of each replica in it and of each level.
-const LEND: (usize, usize, usize) = (28, 7, 6);
+/// Approximate bytes of a grant, of each replica in it and of each virtual time.
+const GRANT_BYTES: (usize, usize, usize) = (28, 7, 6);
 
 /// A message between two routers about one service.
 ///
-/// Each is absolute and numbered, so that a lost, doubled, late or overtaken one does no
-/// harm. Names are sent as hashes; both ends know the names from elsewhere.
+/// Messages carry absolute values and sequence numbers, so lost, duplicated, late or reordered
+/// ones do no harm. Names are sent as hashes, since both sides know the names from elsewhere.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// From a router to the owner of a pool.
@@ -29,70 +29,77 @@
     /// From the owner of a pool to a router.
     #[serde(rename = "Lend")]
     SlotGrant(SlotGrant),
-    /// Between any two routers: how much service workspaces received.
+    /// Between any two routers: the service that workspaces received.
     Notes(Notes),
 }
 
-/// What a router holds and what waits at it.
+/// The slots that a router holds of a pool, and its backlog.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     pub(crate) service: ServiceKey,
-    /// How often the router has turned to another owner, or back to this one.
+    /// Number of times that the router has changed to another owner, or back to this one.
     pub(crate) term: u32,
-    /// Number of this report; a later one replaces it.
+    /// Sequence number; a later report replaces an earlier one.
     pub(crate) seq: u64,
-    /// The last lend of this owner that was seen.
+    /// Sequence number of the last grant received from this owner.
     pub(crate) seen: u64,
-    /// The last report that was acknowledged; 0 where none was.
+    /// Sequence number of the last acknowledged report; 0 if there is none.
     pub(crate) base: u64,
-    /// Slots kept on each replica (allowed, or running where that is more) that changed
-    /// since then; all where there is no base.
+    /// Slots kept on each replica (the larger of allowed and running) that changed since `base`;
+    /// on all replicas if there is no base.
     pub(crate) kept: Vec<(ReplicaKey, u32)>,
-    /// Requests running in all.
+    /// Requests running on all replicas.
     pub(crate) running: u32,
-    /// The backlogged workspaces. None says that they are much as in the last report that
-    /// was acknowledged.
-    pub(crate) waits: Option<Vec<Wait>>,
-    /// Replicas that can take nothing of what waits.
-    pub(crate) shuns: Vec<ReplicaKey>,
-    /// Limits of replicas, for an owner that has not lent anything yet.
+    /// The backlogged workspaces; `None` if they have hardly changed since the last acknowledged
+    /// report.
+    #[serde(rename = "waits")]
+    pub(crate) demands: Option<Vec<WorkspaceDemand>>,
+    /// Replicas that can serve none of the queued requests.
+    #[serde(rename = "shuns")]
+    pub(crate) avoided: Vec<ReplicaKey>,
+    /// Limits of replicas, for an owner that has not granted anything yet.
     pub(crate) limits: Vec<(ReplicaKey, u32)>,
-    /// How the replicas answered, now and then.
-    pub(crate) loads: Option<Loads>,
+    /// Performance of the replicas, included at a longer interval.
+    pub(crate) loads: Option<ReplicaLoads>,
 }
 
-/// How the replicas answered a router since it last said so.
+/// Performance of the replicas as one router observed it since its last such report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Loads {
-    /// Mean cost of a request, in thousandths of a unit; 0 where none has ended yet.
+pub(crate) struct ReplicaLoads {
+    /// Mean cost of a request in thousandths of a unit; 0 until one has ended.
     pub(crate) cost: u64,
-    /// Mean time that a request runs.
-    pub(crate) run: Span,
-    /// Each replica that was used.
-    pub(crate) seats: Vec<Load>,
+    /// Mean run time of a request.
+    #[serde(rename = "run")]
+    pub(crate) run_time: Span,
+    /// The replicas that were used.
+    #[serde(rename = "seats")]
+    pub(crate) replicas: Vec<ReplicaLoad>,
 }
 
-/// How one replica answered.
+/// Performance of one replica.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Load {
+pub(crate) struct ReplicaLoad {
     pub(crate) key: ReplicaKey,
-    /// Requests that run on it from this router.
+    /// Requests that this router runs on it.
     pub(crate) running: u32,
     /// Mean time to the first byte.
-    pub(crate) first: Option<Span>,
+    #[serde(rename = "first")]
+    pub(crate) first_byte: Option<Span>,
     /// Mean time between tokens.
-    pub(crate) gap: Option<Span>,
-    /// Whether it took all that it was given.
+    #[serde(rename = "gap")]
+    pub(crate) token_gap: Option<Span>,
+    /// Whether it accepted all requests.
     pub(crate) ok: bool,
-    /// What it said of itself: requests that run and that wait inside it.
-    pub(crate) said: Option<(u32, u32)>,
+    /// Its own load report: requests that run on it and that wait inside it.
+    #[serde(rename = "said")]
+    pub(crate) self_reported: Option<(u32, u32)>,
 }
 
 /// The demand of one backlogged workspace at one router.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Wait {
+pub(crate) struct WorkspaceDemand {
     pub(crate) key: crate::shares::Key,
-    /// Requests queued; rounded where there are many.
+    /// Requests queued; a large number is rounded.
     pub(crate) queued: u32,
     /// Requests running.
     pub(crate) running: u32,
@@ -102,39 +109,43 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SlotGrant {
     pub(crate) service: ServiceKey,
-    /// The term of the last report that was seen. The router takes no lend of an older
-    /// one, which another owner may have followed.
+    /// The term of the last report received. The router ignores a grant of an older term, since
+    /// another owner may have granted slots after it.
     pub(crate) term: u32,
-    /// Number of this lend; a later one replaces it.
+    /// Sequence number; a later grant replaces an earlier one.
     pub(crate) seq: u64,
-    /// The last lend that the router has seen; 0 where none was.
+    /// Sequence number of the last grant that the router has acknowledged; 0 if there is none.
     pub(crate) base: u64,
-    /// The last report of this router that was seen.
+    /// Sequence number of the last report received from this router.
     pub(crate) seen: u64,
-    /// Whether work waits at some router.
-    pub(crate) pressed: bool,
-    /// Slots of the whole pool.
+    /// Whether requests are queued at any router.
+    #[serde(rename = "pressed")]
+    pub(crate) contended: bool,
+    /// Slots of the complete pool.
     pub(crate) capacity: u32,
-    /// Routers that use the pool; the more there are, the less often each reports.
+    /// Number of routers that use the pool; the more there are, the less often each reports.
     pub(crate) sharers: u32,
-    /// Slots on each replica that changed since then; all where there is no base.
+    /// Slots on each replica that changed since `base`; on all replicas if there is no base.
     pub(crate) slots: Vec<(ReplicaKey, u32)>,
-    /// For each workspace that waits by the report that was seen, in its order: its
-    /// normalised service without what this router counted, in thousandths of a unit.
-    pub(crate) levels: Vec<i64>,
-    /// Limits of replicas, now and then; the next owner begins with them.
+    /// Virtual times, without this router's own charges, in thousandths of a unit: one for each
+    /// backlogged workspace of the acknowledged report, in its order.
+    #[serde(rename = "levels")]
+    pub(crate) virtual_times: Vec<i64>,
+    /// Limits of replicas, sent from time to time to the successor of the owner.
     pub(crate) limits: Vec<(ReplicaKey, u32)>,
 }
 
 impl SlotGrant {
-    /// Returns roughly how many bytes it takes on the wire.
+    /// Returns its approximate size on the wire in bytes.
     pub(crate) fn size(&self) -> usize {
-        LEND.0 + LEND.1 * (self.slots.len() + self.limits.len()) + LEND.2 * self.levels.len()
+        GRANT_BYTES.0
+            + GRANT_BYTES.1 * (self.slots.len() + self.limits.len())
+            + GRANT_BYTES.2 * self.virtual_times.len()
     }
 }
 
 impl Message {
-    /// Returns the service that it is about.
+    /// Returns the service that the message is about.
     pub(crate) fn service(&self) -> ServiceKey {
         match self {
             Message::Report(m) => m.service,
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -1,4 +1,4 @@
-//! Which request starts where and when, across the fleet.
+//! Fair scheduling of requests across the fleet: which request starts on which replica, and when.
 
 mod action;
 mod core;
@@ -15,12 +15,12 @@
 pub(crate) use self::{
     message::{
         service_key,
-        Load,
-        Loads,
+        ReplicaLoad,
+        ReplicaLoads,
         ServiceKey,
-        Wait, //
+        WorkspaceDemand, //
     },
-    peers::Mates,
+    peers::ServicePeers,
 };
 
 pub use self::{
--- a/crates/policy/src/dispatch/peers.rs
+++ b/crates/policy/src/dispatch/peers.rs
@@ -1,4 +1,4 @@
-//! The routers that deal with the same service.
+//! The routers that exchange usage updates about a service.
 
 use {
     crate::{
@@ -9,35 +9,36 @@
     std::collections::BTreeMap,
 };
 
-/// A router that was silent about a service for this time is no longer told of it.
-const SILENT: Span = Span::secs(60);
+/// A peer that has sent nothing about a service for this time gets no more updates about it.
+const SILENCE_TIMEOUT: Span = Span::secs(60);
 
-/// The routers that are told of a service: its homes, to which callers are pointed, and
-/// any other that was heard to speak of it.
+/// The peers of a service: its preferred routers, to which callers are directed, and any
+/// other router that has sent a message about it.
 #[derive(Debug, Default)]
-pub(crate) struct Mates {
-    all: BTreeMap<RouterId, Mate>,
+pub(crate) struct ServicePeers {
+    all: BTreeMap<RouterId, ServicePeer>,
 }
 
-/// First and longest pause before the same is told again, and how often it doubles.
-const AGAIN: (Span, Span) = (Span::millis(400), Span::secs(30));
-const TRIES: u32 = 8;
+/// First and maximum interval before the same revision is sent again, and the number of times
+/// that the interval doubles.
+const RESEND_RANGE: (Span, Span) = (Span::millis(400), Span::secs(30));
+const RESEND_DOUBLINGS: u32 = 8;
 
 #[derive(Debug, Default)]
-struct Mate {
-    home: bool,
-    heard: Option<Time>,
-    /// When it was last told, of which revision, and how often in a row of the same.
-    told: Option<(Time, u64, u32)>,
+struct ServicePeer {
+    preferred: bool,
+    last_received: Option<Time>,
+    /// When the last update was sent, its revision, and the consecutive repeats of that revision.
+    last_sent: Option<(Time, u64, u32)>,
 }
 
-impl Mates {
-    pub(crate) fn set_homes(&mut self, homes: impl Iterator<Item = RouterId>) {
-        for mate in self.all.values_mut() {
-            mate.home = false;
+impl ServicePeers {
+    pub(crate) fn set_preferred(&mut self, routers: impl Iterator<Item = RouterId>) {
+        for peer in self.all.values_mut() {
+            peer.preferred = false;
         }
-        for id in homes {
-            self.all.entry(id).or_default().home = true;
+        for id in routers {
+            self.all.entry(id).or_default().preferred = true;
         }
     }
 
@@ -45,64 +46,67 @@
         self.all.keys()
     }
 
-    /// Returns when a router was last told.
-    pub(crate) fn told(&self, id: &RouterId) -> Option<Time> {
-        self.all.get(id)?.told.map(|t| t.0)
+    /// Returns when a router was last sent an update.
+    pub(crate) fn last_sent(&self, id: &RouterId) -> Option<Time> {
+        self.all.get(id)?.last_sent.map(|t| t.0)
     }
 
-    /// Returns whether a router may be told again, of revision `rev`.
+    /// Returns whether a router may be sent an update of revision `rev`.
     ///
-    /// One that does not answer is told the same again after growing pauses.
-    pub(crate) fn rested(&self, id: &RouterId, rev: u64, interval: Span, now: Time) -> bool {
-        let Some(mate) = self.all.get(id) else {
+    /// The same revision is resent to a router that doesn't answer at increasing intervals.
+    pub(crate) fn is_due(&self, id: &RouterId, rev: u64, interval: Span, now: Time) -> bool {
+        let Some(peer) = self.all.get(id) else {
             return false;
         };
-        let Some((at, told, tries)) = mate.told else {
+        let Some((at, revision, attempts)) = peer.last_sent else {
             return true;
         };
-        let again = Span(AGAIN.0 .0 << tries.min(TRIES)).min(AGAIN.1);
-        let pause = if told == rev {
-            again.max(interval)
+        let resend = Span(RESEND_RANGE.0 .0 << attempts.min(RESEND_DOUBLINGS)).min(RESEND_RANGE.1);
+        let wait = if revision == rev {
+            resend.max(interval)
         } else {
             interval
         };
-        now.since(at) >= pause
+        now.since(at) >= wait
     }
 
-    /// Notes that a router was told of revision `rev`.
-    pub(crate) fn tell(&mut self, id: &RouterId, rev: u64, now: Time) {
-        if let Some(mate) = self.all.get_mut(id) {
-            let tries = match mate.told {
-                Some((_, told, tries)) if told == rev => tries + 1,
+    /// Records that revision `rev` was sent to a router.
+    pub(crate) fn record_sent(&mut self, id: &RouterId, rev: u64, now: Time) {
+        if let Some(peer) = self.all.get_mut(id) {
+            let attempts = match peer.last_sent {
+                Some((_, revision, attempts)) if revision == rev => attempts + 1,
                 _ => 0,
             };
-            mate.told = Some((now, rev, tries));
+            peer.last_sent = Some((now, rev, attempts));
         }
     }
 
-    /// Notes that a router spoke of the service.
-    pub(crate) fn hear(&mut self, id: &RouterId, now: Time) {
+    /// Records a message from a router about the service.
+    pub(crate) fn record_received(&mut self, id: &RouterId, now: Time) {
         match self.all.get_mut(id) {
-            Some(mate) => {
-                mate.heard = Some(now);
-                if let Some(told) = &mut mate.told {
-                    told.2 = 0;
+            Some(peer) => {
+                peer.last_received = Some(now);
+                if let Some(sent) = &mut peer.last_sent {
+                    sent.2 = 0;
                 }
             }
             None => {
-                let heard = Some(now);
-                let mate = Mate {
-                    heard,
-                    ..Mate::default()
+                let last_received = Some(now);
+                let peer = ServicePeer {
+                    last_received,
+                    ..ServicePeer::default()
                 };
-                self.all.insert(id.clone(), mate);
+                self.all.insert(id.clone(), peer);
             }
         }
     }
 
-    /// Forgets routers that are no home and were silent for long.
-    pub(crate) fn forget(&mut self, now: Time) {
-        let lately = |m: &Mate| m.heard.is_some_and(|t| now.since(t) < SILENT);
-        self.all.retain(|_, m| m.home || lately(m));
+    /// Removes routers that are not preferred and were silent for `SILENCE_TIMEOUT`.
+    pub(crate) fn forget_silent(&mut self, now: Time) {
+        let recent = |m: &ServicePeer| {
+            m.last_received
+                .is_some_and(|t| now.since(t) < SILENCE_TIMEOUT)
+        };
+        self.all.retain(|_, m| m.preferred || recent(m));
     }
 }
--- a/crates/policy/src/dispatch/reject.rs
+++ b/crates/policy/src/dispatch/reject.rs
@@ -1,7 +1,7 @@
-//! Requests that are refused without a replica.
+//! Rejection of requests that reach no replica.
 
 use crate::{
-    service::Live,
+    service::ActiveRequest,
     Action,
     Dispatch,
     Job,
@@ -12,17 +12,17 @@
     Time, //
 };
 
-/// When a caller of a router that is leaving, or of an unknown service, may come back.
-pub(super) const AFTER_NONE: Span = Span::secs(1);
+/// When a caller may retry if this router is shutting down or doesn't know the service.
+pub(super) const CLOSED_RETRY_AFTER: Span = Span::secs(1);
 
 impl Dispatch {
-    /// Refuses a queued request.
-    pub(super) fn refuse(&mut self, id: JobId, reason: Refusal, retry_after: Span, now: Time) {
-        let Some(live) = self.lives.remove(id) else {
+    /// Rejects a queued request.
+    pub(super) fn reject(&mut self, id: JobId, reason: Refusal, retry_after: Span, now: Time) {
+        let Some(request) = self.requests.remove(id) else {
             return;
         };
-        if let Some(entry) = self.services.get_mut(&live.job.service) {
-            entry.unqueue(id, &live, now);
+        if let Some(state) = self.services.get_mut(&request.job.service) {
+            state.dequeue(id, &request, now);
         }
         self.actions.push(Action::Reject {
             job: id,
@@ -31,36 +31,36 @@
         });
     }
 
-    /// Refuses all that is queued at a service.
-    pub(super) fn refuse_queued(&mut self, service: &ServiceId, reason: Refusal, now: Time) {
+    /// Rejects all queued requests of a service.
+    pub(super) fn reject_queued(&mut self, service: &ServiceId, reason: Refusal, now: Time) {
         let queued: Vec<JobId> = self
-            .lives
+            .requests
             .iter()
             .filter(|(_, l)| &l.job.service == service && l.run.is_none())
             .map(|(id, _)| id)
             .collect();
         for id in queued {
-            self.refuse(id, reason, AFTER_NONE, now);
+            self.reject(id, reason, CLOSED_RETRY_AFTER, now);
         }
     }
 
-    /// Returns why no queue takes a request.
-    pub(super) fn closed(&self) -> Refusal {
+    /// Returns the reason why no queue accepts a request.
+    pub(super) fn closed_reason(&self) -> Refusal {
         match self.leaving {
             true => Refusal::Leaving,
             false => Refusal::NoEndpoint,
         }
     }
 
-    /// Refuses a request that no queue takes.
-    pub(super) fn turn_away(&mut self, job: Job, reason: Refusal) -> JobId {
-        let live = Live::unqueued(job);
-        let id = self.lives.insert(live);
-        self.lives.remove(id);
+    /// Rejects a request that was not queued.
+    pub(super) fn reject_new(&mut self, job: Job, reason: Refusal) -> JobId {
+        let request = ActiveRequest::new(job);
+        let id = self.requests.insert(request);
+        self.requests.remove(id);
         self.actions.push(Action::Reject {
             job: id,
             reason,
-            retry_after: AFTER_NONE,
+            retry_after: CLOSED_RETRY_AFTER,
         });
         id
     }
--- a/crates/policy/src/dispatch/rules.rs
+++ b/crates/policy/src/dispatch/rules.rs
@@ -1,4 +1,4 @@
-//! What the operators' configuration says about sharing.
+//! Sharing rules from the operators' configuration.
 
 use {
     crate::{
@@ -19,16 +19,16 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Mode {
-    /// Owners lend slots where work waits; fair across the fleet.
+    /// Owners grant slots where requests are queued; fair across the fleet.
     #[default]
     Fleet,
-    /// A static fraction for each router, fair at each router alone.
+    /// A static share for each router; fair only within each router.
     Alone,
-    /// A static fraction for each router, first come first served.
+    /// A static share for each router; first come, first served.
     Static,
 }
 
-/// What a unit of service is.
+/// What a unit of service counts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unit {
@@ -57,20 +57,20 @@
     pub service: ServiceId,
     /// What is counted as service.
     pub unit: Unit,
-    /// Urgency goes before fairness only within this much normalised service.
+    /// Urgency takes precedence over fairness within this difference of normalised service.
     pub window: Units,
-    /// How far below the least backlogged workspace an idle one may start.
+    /// How far below the least backlogged workspace an idle one may resume.
     pub credit: Units,
-    /// Most requests queued for one workspace at one router.
+    /// Maximum number of requests queued for one workspace at one router.
     pub queue: usize,
-    /// Limit that a new replica starts with.
+    /// Initial concurrency limit of a new replica.
     pub start: Slots,
-    /// Shares of workspaces; one that is not named has share 1. Services may share a list.
+    /// Shares of workspaces; an unlisted workspace has share 1. Services may share a list.
     #[serde(default)]
     pub shares: Arc<Vec<WorkspaceShare>>,
 }
 
-/// What one workspace has of its own: its share, and how long its queue may be.
+/// The settings of one workspace: its share and the limit of its queue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct WorkspaceShare {
@@ -78,7 +78,7 @@
     pub workspace: WorkspaceId,
     /// Its share.
     pub share: Share,
-    /// Most requests that it may queue at one router, where that is not as for others.
+    /// Maximum number of its requests queued at one router, if it differs from the service's.
     #[serde(default)]
     pub queue: Option<usize>,
 }
--- a/crates/policy/src/pool/byte_budget.rs
+++ b/crates/policy/src/pool/byte_budget.rs
@@ -1,28 +1,28 @@
-//! A budget of bytes.
+//! Token bucket that limits the bytes of messages.
 
 use crate::Time;
 
-/// Bytes that may be sent, refilled at a rate.
+/// Bytes that may be sent, refilled at a constant rate.
 #[derive(Debug, Default)]
-pub(crate) struct Bucket {
+pub(crate) struct ByteBudget {
     bytes: f64,
-    last: Time,
+    refilled_at: Time,
 }
 
-impl Bucket {
-    /// Adds what `rate` bytes a second give since the last call, up to `most`.
-    pub(crate) fn refill(&mut self, rate: f64, most: f64, now: Time) {
-        let dt = now.since(self.last).as_secs();
-        self.last = now;
-        self.bytes = (self.bytes + dt * rate).min(most);
+impl ByteBudget {
+    /// Adds the bytes for the time since the last call, at `rate` bytes per second, up to `burst`.
+    pub(crate) fn refill(&mut self, rate: f64, burst: f64, now: Time) {
+        let dt = now.since(self.refilled_at).as_secs();
+        self.refilled_at = now;
+        self.bytes = (self.bytes + dt * rate).min(burst);
     }
 
-    /// Returns whether anything is left.
-    pub(crate) fn open(&self) -> bool {
+    /// Returns whether any bytes are left.
+    pub(crate) fn has_bytes(&self) -> bool {
         self.bytes > 0.0
     }
 
-    /// Spends bytes; the last message may overdraw.
+    /// Spends bytes; the last message may overdraw the budget.
     pub(crate) fn spend(&mut self, bytes: usize) {
         self.bytes -= bytes as f64;
     }
--- a/crates/policy/src/pool/client.rs
+++ b/crates/policy/src/pool/client.rs
@@ -1,12 +1,12 @@
-//! A router's side of a pool: what it was lent and what it reports.
+//! A router's side of a pool: the slots granted to it, and its reports.
 
 use {
     super::{
         report_body::{
             queued,
-            Body, //
+            ReportBody, //
         },
-        Bucket,
+        ByteBudget,
         Limits, //
     },
     crate::{
@@ -14,12 +14,12 @@
             Report,
             ServiceKey,
             SlotGrant,
-            Wait, //
+            WorkspaceDemand, //
         },
         service::{
             Queue,
             ReplicaKey,
-            Seats, //
+            ServiceReplicas, //
         },
         shares::Key,
         Incarnation,
@@ -33,239 +33,245 @@
     },
 };
 
-/// Shortest time between two reports.
-const URGENT: Span = Span::millis(10);
-/// Time between two reports while work waits.
-const WAITING: Span = Span::millis(200);
-/// Time between two reports while nothing waits.
-const IDLE: Span = Span::millis(250);
-/// Bytes a second of reports that an owner should take in without need, and at most.
-const OWNER_TAKES: u64 = 4_000;
-const OWNER_MOST: f64 = 9_000.0;
-/// Bytes of urgent reports that may be saved up.
-const BURST: f64 = 600.0;
-/// A report that was not acknowledged is sent again after this time.
-const AGAIN: Span = Span::millis(400);
-/// How often that time doubles while nobody answers.
-const TRIES: u32 = 4;
-/// So many reports without an answer are enough to stop hurrying.
-const SILENT: u32 = 16;
-/// After this time without a word from the owner, the static fraction is used.
-const DEAF: Span = Span::secs(1);
-/// Time between two reports of how the replicas answered.
-const LOADS: Span = Span::millis(500);
-/// The same, for each replica where there are many.
-const LOAD: Span = Span::millis(3);
-/// Reports whose workspaces are remembered until the owner answers.
-const ASKED: usize = 8;
+/// Minimum interval between two reports.
+const URGENT_INTERVAL: Span = Span::millis(10);
+/// Minimum interval between two reports without urgency while requests are queued.
+const BACKLOG_INTERVAL: Span = Span::millis(200);
+/// The same while no requests are queued.
+const IDLE_INTERVAL: Span = Span::millis(250);
+/// Rates of reports that an owner receives from all routers: without urgency, and at most.
+const OWNER_REPORT_BYTES_PER_SEC: u64 = 4_000;
+const OWNER_URGENT_BYTES_PER_SEC: f64 = 9_000.0;
+/// Bytes of urgent reports in a burst.
+const URGENT_BURST_BYTES: f64 = 600.0;
+/// An unacknowledged report is resent after this time.
+const RESEND_TIMEOUT: Span = Span::millis(400);
+/// Number of times that this doubles while the owner doesn't answer.
+const RESEND_DOUBLINGS: u32 = 4;
+/// After this number of unanswered reports none is sent as urgent.
+const UNANSWERED_LIMIT: u32 = 16;
+/// If the owner is silent for this time, the static share is used.
+const OWNER_TIMEOUT: Span = Span::secs(1);
+/// Interval between two reports of replica performance.
+const LOADS_INTERVAL: Span = Span::millis(500);
+/// Minimum of that interval for each replica, for services with many of them.
+const LOADS_INTERVAL_PER_REPLICA: Span = Span::millis(3);
+/// Number of reports whose workspaces are remembered until the owner answers.
+const REPORTED_KEYS_LIMIT: usize = 8;
 
-/// What this router holds of a pool that another router, or itself, owns.
+/// The slots that this router holds of a pool, which another router or itself owns.
 #[derive(Debug, Default)]
-pub(crate) struct Hold {
+pub(crate) struct PoolClient {
     pub(crate) owner: Option<(RouterId, Incarnation)>,
-    /// Whether callers of the service are pointed to this router.
-    pub(crate) home: bool,
-    /// How often the owner changed.
+    /// Whether callers of the service are directed to this router.
+    pub(crate) preferred: bool,
+    /// Number of times that the owner has changed.
     term: u32,
-    since: Time,
-    /// Number of the last lend that was taken in.
-    lend: u64,
-    /// Whether the owner waits to hear that slots are back.
-    owes: bool,
-    /// Whether a report may be due that had to wait.
-    pub(crate) late: bool,
-    pub(crate) pressed: bool,
+    owner_since: Time,
+    /// Sequence number of the last applied grant.
+    last_grant: u64,
+    /// Whether the owner has not been informed yet of released slots.
+    return_pending: bool,
+    /// Whether a due report was delayed.
+    pub(crate) report_delayed: bool,
+    pub(crate) contended: bool,
     pub(crate) capacity: u32,
-    /// Routers that use the pool.
+    /// Number of routers that use the pool.
     sharers: u32,
-    bucket: Bucket,
-    /// Limits of replicas that were heard of.
+    urgent_budget: ByteBudget,
+    /// Limits of replicas, as last received.
     pub(crate) limits: Limits,
     seq: u64,
     /// Reports since the last acknowledgement.
-    tries: u32,
-    /// The last lend that the owner was told to be seen.
-    told: u64,
-    sent: Option<(Time, Body)>,
-    /// The last report that named the workspaces that wait, when, and those.
-    waits: Option<(u64, Time, Vec<Wait>)>,
-    acked: u64,
-    /// The workspaces of the last reports, in order, by number of the report.
-    asked: VecDeque<(u64, Vec<Key>)>,
-    /// When the owner was last told how the replicas answered.
-    loaded: Option<Time>,
-    /// Since when reports wait and none was acknowledged.
-    unheard: Option<Time>,
+    unanswered: u32,
+    /// The last grant that was acknowledged to the owner.
+    reported_grant: u64,
+    last_report: Option<(Time, ReportBody)>,
+    /// The last report that listed the backlogged workspaces: its number, its time and the list.
+    last_demands: Option<(u64, Time, Vec<WorkspaceDemand>)>,
+    acked_report: u64,
+    /// The backlogged workspaces of the last reports, by the number of the report.
+    reported_keys: VecDeque<(u64, Vec<Key>)>,
+    /// When replica performance was last reported.
+    loads_sent_at: Option<Time>,
+    /// Since when reports have been sent without any acknowledgement.
+    unacked_since: Option<Time>,
 }
 
-impl Hold {
-    /// Takes note of who owns the pool. What is held stays.
-    pub(crate) fn follow(&mut self, owner: Option<(RouterId, Incarnation)>, now: Time) {
+impl PoolClient {
+    /// Sets the owner of the pool. Slots that are held stay.
+    pub(crate) fn set_owner(&mut self, owner: Option<(RouterId, Incarnation)>, now: Time) {
         if self.owner == owner {
             return;
         }
         self.owner = owner;
         self.term += 1;
-        self.since = now;
-        self.lend = 0;
-        self.told = 0;
-        self.sent = None;
-        self.acked = 0;
-        self.waits = None;
-        self.unheard = None;
+        self.owner_since = now;
+        self.last_grant = 0;
+        self.reported_grant = 0;
+        self.last_report = None;
+        self.acked_report = 0;
+        self.last_demands = None;
+        self.unacked_since = None;
     }
 
-    /// Returns whether the owner has not answered for long.
+    /// Returns whether the owner has not answered for `OWNER_TIMEOUT`.
     ///
-    /// A router that is cut off from an owner that it still believes to be live would
-    /// wait for slots forever. It then uses its static fraction.
-    pub(crate) fn deaf(&self, now: Time) -> bool {
+    /// A router that is cut off from an owner that it still believes to be live would wait for
+    /// slots forever. It uses its static share instead.
+    pub(crate) fn owner_unreachable(&self, now: Time) -> bool {
         let since = match self.owner {
-            None => Some(self.since),
-            Some(_) => self.unheard,
+            None => Some(self.owner_since),
+            Some(_) => self.unacked_since,
         };
-        since.is_some_and(|t| now.since(t) >= DEAF)
+        since.is_some_and(|t| now.since(t) >= OWNER_TIMEOUT)
     }
 
-    /// Takes in a lend; returns whether it is news.
-    pub(crate) fn lend(
+    /// Applies a grant; returns whether it is new.
+    pub(crate) fn apply_grant(
         &mut self,
         from: &RouterId,
         inc: Incarnation,
-        l: &SlotGrant,
-        seats: &mut Seats,
+        g: &SlotGrant,
+        replicas: &mut ServiceReplicas,
         now: Time,
     ) -> bool {
-        let owner = self.owner.as_ref() == Some(&(from.clone(), inc));
-        if !owner || l.term != self.term {
+        let from_owner = self.owner.as_ref() == Some(&(from.clone(), inc));
+        if !from_owner || g.term != self.term {
             return false;
         }
-        if l.seq == 0 {
-            self.acked = 0;
-            self.sent = None;
+        if g.seq == 0 {
+            self.acked_report = 0;
+            self.last_report = None;
             return false;
         }
-        if l.seq < self.lend {
+        if g.seq < self.last_grant {
             return false;
         }
-        if l.seen > self.acked {
-            self.acked = l.seen;
-            self.tries = 0;
-            self.unheard = (self.acked < self.seq).then_some(now);
+        if g.seen > self.acked_report {
+            self.acked_report = g.seen;
+            self.unanswered = 0;
+            self.unacked_since = (self.acked_report < self.seq).then_some(now);
         }
-        self.capacity = l.capacity;
-        self.sharers = l.sharers;
-        self.limits.extend(l.limits.iter().copied());
-        if l.seq == self.lend {
-            // The owner sends it again, so the report that said it was seen got lost.
-            if l.base < l.seq {
-                self.told = 0;
+        self.capacity = g.capacity;
+        self.sharers = g.sharers;
+        self.limits.extend(g.limits.iter().copied());
+        if g.seq == self.last_grant {
+            // The owner resends the grant, so the report that acknowledged it was lost.
+            if g.base < g.seq {
+                self.reported_grant = 0;
             }
             return false;
         }
-        if self.lend < l.base {
+        if self.last_grant < g.base {
             return false;
         }
-        self.lend = l.seq;
-        self.pressed = l.pressed;
-        self.owes |= seats.allow(&l.slots, l.base == 0);
+        self.last_grant = g.seq;
+        self.contended = g.contended;
+        self.return_pending |= replicas.set_allowed(&g.slots, g.base == 0);
         true
     }
 
-    /// Returns the levels that a lend tells, without what this router counted itself.
-    pub(crate) fn levels(
+    /// Returns the virtual times of a grant, without this router's own charges.
+    pub(crate) fn granted_virtual_times(
         &self,
         from: &RouterId,
         inc: Incarnation,
-        l: &SlotGrant,
+        g: &SlotGrant,
     ) -> Vec<(Key, i64)> {
-        let owner = self.owner.as_ref() == Some(&(from.clone(), inc));
-        let asked = self.asked.iter().find(|(seq, _)| *seq == l.seen);
-        match asked {
-            Some((_, keys)) if owner && l.term == self.term => {
-                let levels = l.levels.iter().copied();
-                keys.iter().copied().zip(levels).collect()
+        let from_owner = self.owner.as_ref() == Some(&(from.clone(), inc));
+        let reported = self.reported_keys.iter().find(|(seq, _)| *seq == g.seen);
+        match reported {
+            Some((_, keys)) if from_owner && g.term == self.term => {
+                let virtual_times = g.virtual_times.iter().copied();
+                keys.iter().copied().zip(virtual_times).collect()
             }
             _ => Vec::new(),
         }
     }
 
-    /// Gives back what is idle while work waits elsewhere, or when this router leaves.
-    pub(crate) fn give_back(
+    /// Releases idle slots under contention if nothing is queued here, or on shutdown.
+    pub(crate) fn release_unused(
         &mut self,
         queues: &BTreeMap<Key, Queue>,
-        seats: &mut Seats,
+        replicas: &mut ServiceReplicas,
         leaving: bool,
     ) {
-        let wanted = queues.values().any(|q| !q.is_empty());
-        let spare = self.pressed && self.lend > 0 && !wanted;
-        if spare || leaving {
-            self.owes |= seats.close();
+        let has_backlog = queues.values().any(|q| !q.is_empty());
+        let unused = self.contended && self.last_grant > 0 && !has_backlog;
+        if unused || leaving {
+            self.return_pending |= replicas.release_idle();
         }
     }
 
-    /// Gives back idle slots of replicas that can take nothing of what waits.
+    /// Releases idle slots on replicas that can serve none of the queued requests.
     ///
-    /// Such a slot would answer the demand and stay idle. It shows as a request that waits
-    /// for its whole deadline in an idle fleet, after one replica has failed it. The owner
-    /// learns of the replicas with the slots, and lends others instead.
-    pub(crate) fn shun(&mut self, seats: &mut Seats, shuns: &[ReplicaKey], now: Time) {
-        if self.lend > 0 && !self.deaf(now) {
-            self.owes |= seats.close_some(shuns);
+    /// Such a slot would count against the demand and stay idle: after one replica has failed a
+    /// request, its retry would wait until its deadline in an idle fleet. The owner learns of
+    /// these replicas with the released slots, and grants slots on others.
+    pub(crate) fn release_avoided(
+        &mut self,
+        replicas: &mut ServiceReplicas,
+        avoided: &[ReplicaKey],
+        now: Time,
+    ) {
+        if self.last_grant > 0 && !self.owner_unreachable(now) {
+            self.return_pending |= replicas.release_idle_on(avoided);
         }
     }
 
-    /// Returns the report that is due, if any, without its loads.
+    /// Returns the report that is due, if any, without replica performance.
     ///
-    /// It is `local` where this router owns the pool, and then costs nothing.
+    /// It is `local` if this router owns the pool, and then costs no message.
     pub(crate) fn report(
         &mut self,
         service: ServiceKey,
         queues: &BTreeMap<Key, Queue>,
-        seats: &mut Seats,
-        shuns: Vec<ReplicaKey>,
+        replicas: &mut ServiceReplicas,
+        avoided: Vec<ReplicaKey>,
         local: bool,
         now: Time,
     ) -> Option<Report> {
-        let just = |(at, _): &(Time, Body)| now.since(*at) < URGENT;
-        if !local && self.sent.as_ref().is_some_and(just) {
-            self.late = true;
+        let too_soon = |(at, _): &(Time, ReportBody)| now.since(*at) < URGENT_INTERVAL;
+        if !local && self.last_report.as_ref().is_some_and(too_soon) {
+            self.report_delayed = true;
             return None;
         }
-        let body = Body::of(queues, seats, shuns);
-        if !self.home && self.seq == 0 && body.is_empty() {
+        let body = ReportBody::of(queues, replicas, avoided);
+        if !self.preferred && self.seq == 0 && body.is_empty() {
             return None;
         }
-        let loads = body.running > 0 && self.loads_due(seats.all.len(), now);
-        if !self.due(&body, local, now) && !loads {
+        let loads = body.running > 0 && self.loads_due(replicas.all.len(), now);
+        if !self.report_due(&body, local, now) && !loads {
             return None;
         }
         self.seq += 1;
-        self.tries += 1;
-        self.late = false;
-        self.owes = false;
-        self.told = self.lend;
-        self.unheard.get_or_insert(now);
-        let kept = seats.news(self.seq, self.acked);
-        let waits = self.waits_due(&body, now);
-        if waits {
-            self.waits = Some((self.seq, now, body.waits.clone()));
+        self.unanswered += 1;
+        self.report_delayed = false;
+        self.return_pending = false;
+        self.reported_grant = self.last_grant;
+        self.unacked_since.get_or_insert(now);
+        let kept = replicas.report_changes(self.seq, self.acked_report);
+        let with_demands = self.demands_due(&body, now);
+        if with_demands {
+            self.last_demands = Some((self.seq, now, body.demands.clone()));
         }
-        self.bucket.spend(body.size(kept.len(), waits));
-        let limits = match self.lend {
+        self.urgent_budget
+            .spend(body.size(kept.len(), with_demands));
+        let limits = match self.last_grant {
             0 => self.limits.iter().map(|(k, n)| (*k, *n)).collect(),
             _ => Vec::new(),
         };
-        let told = self.waits.iter().flat_map(|w| &w.2);
-        let keys = told.map(|w| w.key).collect();
-        self.asked.push_back((self.seq, keys));
-        if self.asked.len() > ASKED {
-            self.asked.pop_front();
+        let reported = self.last_demands.iter().flat_map(|w| &w.2);
+        let keys = reported.map(|w| w.key).collect();
+        self.reported_keys.push_back((self.seq, keys));
+        if self.reported_keys.len() > REPORTED_KEYS_LIMIT {
+            self.reported_keys.pop_front();
         }
-        self.sent = Some((
+        self.last_report = Some((
             now,
-            Body {
-                news: false,
+            ReportBody {
+                changed: false,
                 ..body.clone()
             },
         ));
@@ -273,61 +279,66 @@
             service,
             term: self.term,
             seq: self.seq,
-            seen: self.lend,
-            base: self.acked,
+            seen: self.last_grant,
+            base: self.acked_report,
             kept,
             running: body.running,
-            waits: waits.then_some(body.waits),
-            shuns: body.shuns,
+            demands: with_demands.then_some(body.demands),
+            avoided: body.avoided,
             limits,
             loads: None,
         })
     }
 
-    /// Returns whether the report should name the workspaces that wait.
-    fn waits_due(&self, body: &Body, now: Time) -> bool {
-        let Some((seq, at, told)) = &self.waits else {
+    /// Returns whether the report should list the backlogged workspaces.
+    fn demands_due(&self, body: &ReportBody, now: Time) -> bool {
+        let Some((seq, at, reported)) = &self.last_demands else {
             return true;
         };
-        let much = body.queued() >= 2 * queued(told) || 2 * body.queued() <= queued(told);
-        if much || *seq > self.acked || now.since(*at) >= self.interval(body) {
+        let much_changed =
+            body.queued() >= 2 * queued(reported) || 2 * body.queued() <= queued(reported);
+        if much_changed || *seq > self.acked_report || now.since(*at) >= self.interval(body) {
             return true;
         }
-        // Where many workspaces wait, some begin or cease to all the time. This router
-        // serves them by itself meanwhile, from the slots that it has.
-        let keys = body.waits.iter().map(|w| w.key);
-        !self.pressed || told.is_empty() && !keys.eq(told.iter().map(|w| w.key))
+        // With many backlogged workspaces, some begin or end all the time. Until the next list
+        // this router serves them from the slots that it has.
+        let keys = body.demands.iter().map(|w| w.key);
+        !self.contended || reported.is_empty() && !keys.eq(reported.iter().map(|w| w.key))
     }
 
-    /// Returns whether the owner should hear how the replicas answered.
-    pub(crate) fn loads_due(&self, seats: usize, now: Time) -> bool {
-        let interval = LOADS.max(Span(LOAD.0 * seats as u64));
-        self.loaded.is_none_or(|t| now.since(t) >= interval)
+    /// Returns whether replica performance should be reported.
+    pub(crate) fn loads_due(&self, replicas: usize, now: Time) -> bool {
+        let interval = LOADS_INTERVAL.max(Span(LOADS_INTERVAL_PER_REPLICA.0 * replicas as u64));
+        self.loads_sent_at.is_none_or(|t| now.since(t) >= interval)
     }
 
-    /// Notes that the owner was told how the replicas answered.
-    pub(crate) fn loads_sent(&mut self, now: Time) {
-        self.loaded = Some(now);
+    /// Records that replica performance was reported.
+    pub(crate) fn record_loads_sent(&mut self, now: Time) {
+        self.loads_sent_at = Some(now);
     }
 
-    fn due(&mut self, body: &Body, local: bool, now: Time) -> bool {
+    fn report_due(&mut self, body: &ReportBody, local: bool, now: Time) -> bool {
         let sharers = self.sharers.max(1) as f64;
-        self.bucket.refill(OWNER_MOST / sharers, BURST, now);
-        let Some((at, last)) = &self.sent else {
+        self.urgent_budget.refill(
+            OWNER_URGENT_BYTES_PER_SEC / sharers,
+            URGENT_BURST_BYTES,
+            now,
+        );
+        let Some((at, last)) = &self.last_report else {
             return true;
         };
         let passed = now.since(*at);
         if local {
-            return body != last || self.told != self.lend || self.owes;
+            return body != last || self.reported_grant != self.last_grant || self.return_pending;
         }
-        let urgent = self.owes || body.urges(last, self.pressed);
-        self.late = urgent;
-        let answered = self.tries < SILENT;
-        let interval = if urgent && answered && self.bucket.open() {
-            URGENT
-        } else if body == last && self.told == self.lend {
-            match self.acked < self.seq {
-                true => Span(AGAIN.0 << self.tries.min(TRIES)),
+        let urgent = self.return_pending || body.is_urgent(last, self.contended);
+        self.report_delayed = urgent;
+        let answered = self.unanswered < UNANSWERED_LIMIT;
+        let interval = if urgent && answered && self.urgent_budget.has_bytes() {
+            URGENT_INTERVAL
+        } else if body == last && self.reported_grant == self.last_grant {
+            match self.acked_report < self.seq {
+                true => Span(RESEND_TIMEOUT.0 << self.unanswered.min(RESEND_DOUBLINGS)),
                 false => return false,
             }
         } else {
@@ -336,17 +347,17 @@
         passed >= interval
     }
 
-    /// Returns the time between two reports that nobody waits for.
+    /// Returns the interval between two reports without urgency.
     ///
-    /// It grows with their size and with the number of routers that report, so that the
-    /// bytes that an owner takes in stay bounded.
-    fn interval(&self, body: &Body) -> Span {
-        let all = body.size(0, true) as u64 * u64::from(self.sharers);
-        let paced = Span::millis(all * 1000 / OWNER_TAKES);
-        if self.pressed || !body.waits.is_empty() {
-            paced.max(WAITING)
+    /// It increases with their size and with the number of routers that report, which bounds the
+    /// bytes that an owner receives.
+    fn interval(&self, body: &ReportBody) -> Span {
+        let total_bytes = body.size(0, true) as u64 * u64::from(self.sharers);
+        let paced = Span::millis(total_bytes * 1000 / OWNER_REPORT_BYTES_PER_SEC);
+        if self.contended || !body.demands.is_empty() {
+            paced.max(BACKLOG_INTERVAL)
         } else {
-            paced.max(IDLE)
+            paced.max(IDLE_INTERVAL)
         }
     }
 }
--- a/crates/policy/src/pool/estimate.rs
+++ b/crates/policy/src/pool/estimate.rs
@@ -1,46 +1,54 @@
-//! How much service a slot gives, and how far a plan looks ahead.
+//! Estimate of the service that a slot gives.
 
 use {
-    super::Borrower,
+    super::Grantee,
     crate::shares::MILLI, //
 };
 
-/// Cost in units and run time in seconds, assumed before any request has ended.
-const GUESS: (f64, f64) = (1.0, 0.5);
-/// A plan looks this many run times ahead, and at least this many seconds.
+/// Cost in units and run time in seconds, assumed until a request has ended.
+const DEFAULT_REQUEST: (f64, f64) = (1.0, 0.5);
+/// Horizon of a plan in mean run times, and its minimum in seconds.
 const HORIZON: (f64, f64) = (2.0, 0.25);
 
-/// What the owner assumes about requests.
+/// Mean cost and run time of requests.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Pace {
+pub(crate) struct RequestEstimate {
     /// Mean cost of a request, in thousandths of a unit.
     pub(crate) cost: f64,
-    /// Mean time that it runs, in seconds.
-    run: f64,
-    /// Whether any request was seen.
+    /// Mean run time in seconds.
+    run_time: f64,
+    /// Whether any request was observed.
     pub(crate) known: bool,
 }
 
-impl Pace {
-    /// Takes the mean of what the routers saw.
-    pub(crate) fn of<'a>(borrowers: impl Iterator<Item = &'a Borrower>) -> Pace {
-        let (mut cost, mut run, mut n) = (0.0, 0.0, 0.0);
-        for (c, r) in borrowers.filter_map(|b| b.pace) {
+impl RequestEstimate {
+    /// Computes the mean of the routers' observations.
+    pub(crate) fn of<'a>(grantees: impl Iterator<Item = &'a Grantee>) -> RequestEstimate {
+        let (mut cost, mut run_time, mut n) = (0.0, 0.0, 0.0);
+        for (c, r) in grantees.filter_map(|g| g.estimate) {
             cost += c as f64;
-            run += r.as_secs();
+            run_time += r.as_secs();
             n += 1.0;
         }
         let known = n > 0.0;
-        Pace {
-            cost: if known { cost / n } else { GUESS.0 * MILLI },
-            run: if known { run / n } else { GUESS.1 },
+        RequestEstimate {
+            cost: if known {
+                cost / n
+            } else {
+                DEFAULT_REQUEST.0 * MILLI
+            },
+            run_time: if known {
+                run_time / n
+            } else {
+                DEFAULT_REQUEST.1
+            },
             known,
         }
     }
 
-    /// Returns the service that one slot gives until the plan's horizon.
+    /// Returns the service that one slot gives within the horizon of a plan.
     pub(crate) fn step(&self) -> f64 {
-        let horizon = (HORIZON.0 * self.run).max(HORIZON.1);
-        self.cost / self.run * horizon
+        let horizon = (HORIZON.0 * self.run_time).max(HORIZON.1);
+        self.cost / self.run_time * horizon
     }
 }
--- a/crates/policy/src/pool/granted_slots.rs
+++ b/crates/policy/src/pool/granted_slots.rs
@@ -1,56 +1,56 @@
-//! What one router holds of one replica, as the owner of the pool knows it.
+//! The slots that one router holds on one replica, as the owner of the pool knows them.
 
 /// The slots of one replica at one router.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Cell {
-    /// Slots that it was lent.
-    pub(crate) lent: u32,
-    /// Slots that it said it keeps.
+pub(crate) struct GrantedSlots {
+    /// Slots granted to the router.
+    pub(crate) granted: u32,
+    /// Slots that it keeps, by its last report.
     pub(crate) kept: u32,
-    /// Requests that it last said to run.
+    /// Requests that it runs, by its last report.
     pub(crate) running: u32,
-    /// The most that it was lent by a lend that it may not have seen replaced.
+    /// The largest earlier grant that the router may not have seen replaced.
     ///
-    /// A slot that was lent and asked back at once may already be in use: the first of
-    /// the two messages arrives first. So it counts as held until the router says that it
-    /// has seen the second.
-    high: u32,
-    /// The lend that replaces `high`.
-    lapse: u64,
-    /// The last lend in which `lent` changed.
-    pub(crate) touched: u64,
-    /// The replica can take nothing of what waits at the router.
-    pub(crate) shunned: bool,
+    /// A slot that was granted and then revoked at once may already be in use, as the grant
+    /// arrives before the revocation. It counts as reserved until the router acknowledges the
+    /// revocation.
+    unconfirmed: u32,
+    /// Sequence number of the grant that replaces `unconfirmed`.
+    confirmed_by: u64,
+    /// Sequence number of the grant in which `granted` last changed.
+    pub(crate) changed_in: u64,
+    /// The replica can serve none of the requests queued at the router.
+    pub(crate) unusable: bool,
 }
 
-impl Cell {
-    /// Returns how many slots may be in use.
-    pub(crate) fn holds(&self) -> u32 {
-        self.lent.max(self.kept).max(self.high)
+impl GrantedSlots {
+    /// Returns the number of slots that may be in use.
+    pub(crate) fn reserved(&self) -> u32 {
+        self.granted.max(self.kept).max(self.unconfirmed)
     }
 
-    /// Changes what is lent, by the lend with this number.
-    pub(crate) fn lend(&mut self, n: u32, lend: u64) {
-        if n < self.lent {
-            self.high = self.high.max(self.lent);
-            self.lapse = lend;
+    /// Changes the granted slots in the grant with this sequence number.
+    pub(crate) fn set_granted(&mut self, n: u32, grant: u64) {
+        if n < self.granted {
+            self.unconfirmed = self.unconfirmed.max(self.granted);
+            self.confirmed_by = grant;
         }
-        self.lent = n;
-        self.touched = lend;
+        self.granted = n;
+        self.changed_in = grant;
     }
 
-    /// Notes which lend the router has seen.
-    pub(crate) fn seen(&mut self, lend: u64) {
-        if self.high > 0 && lend >= self.lapse {
-            self.high = 0;
+    /// Records the grant that the router has acknowledged.
+    pub(crate) fn confirm(&mut self, grant: u64) {
+        if self.unconfirmed > 0 && grant >= self.confirmed_by {
+            self.unconfirmed = 0;
         }
     }
 
-    /// Takes what the router keeps for lent: it comes from another owner, which lent it
-    /// other slots, and nobody is cut off.
+    /// Adopts the kept slots as granted: a previous owner granted the router other slots, and none
+    /// of its requests are interrupted.
     pub(crate) fn adopt(&mut self) {
-        self.lent = self.kept;
-        self.high = 0;
-        self.touched = 0;
+        self.granted = self.kept;
+        self.unconfirmed = 0;
+        self.changed_in = 0;
     }
 }
--- a/crates/policy/src/pool/grantee.rs
+++ b/crates/policy/src/pool/grantee.rs
@@ -1,11 +1,11 @@
 //! A router, as the owner of a pool sees it.
 
 use {
-    super::Cell,
+    super::GrantedSlots,
     crate::{
         dispatch::{
             Report,
-            Wait, //
+            WorkspaceDemand, //
         },
         service::ReplicaKey,
         Incarnation,
@@ -17,231 +17,236 @@
     std::collections::BTreeMap,
 };
 
-/// How long a router's largest need counts.
-const PEAK: Span = Span::secs(2);
+/// Time constant of the decay of a router's peak demand.
+const PEAK_DECAY: Span = Span::secs(2);
 
 /// A router that may hold slots.
 #[derive(Debug)]
-pub(crate) struct Borrower {
+pub(crate) struct Grantee {
     pub(crate) incarnation: Incarnation,
     pub(crate) zone: Zone,
-    /// Whether callers of the service are pointed to it.
-    pub(crate) home: bool,
+    /// Whether callers of the service are directed to it.
+    pub(crate) preferred: bool,
     pub(crate) state: PeerState,
-    /// Since when its state is what it is.
-    pub(crate) since: Time,
-    /// Its term, as of its last report.
+    /// When its state last changed.
+    pub(crate) state_since: Time,
+    /// Its term, by its last report.
     pub(crate) term: u32,
-    /// Number of its last report; none was heard while it is 0.
-    pub(crate) report: u64,
-    /// What it holds of each replica, in the order of the pool's.
-    pub(crate) cells: Vec<Cell>,
-    /// Slots that it said it keeps on replicas that the pool does not know.
-    strays: BTreeMap<ReplicaKey, u32>,
+    /// Sequence number of its last report; 0 if there is none.
+    pub(crate) last_report: u64,
+    /// Its slots on each replica, in the order of the pool's replicas.
+    pub(crate) granted_slots: Vec<GrantedSlots>,
+    /// Slots that it reported to keep on replicas that the pool doesn't know.
+    unknown_kept: BTreeMap<ReplicaKey, u32>,
     pub(crate) running: u32,
-    /// The most that lately ran and waited there.
-    pub(crate) peak: f64,
-    noted: Time,
-    pub(crate) waits: Vec<Wait>,
-    /// Mean cost in thousandths of a unit and mean time that its requests run.
-    pub(crate) pace: Option<(u64, Span)>,
-    /// Number of the last lend to it.
-    pub(crate) lend: u64,
-    /// Slots that it was lent in all.
+    /// Recent peak of the requests that run and are queued there.
+    pub(crate) peak_demand: f64,
+    peak_updated: Time,
+    pub(crate) demands: Vec<WorkspaceDemand>,
+    /// Mean cost of its requests in thousandths of a unit, and their mean run time.
+    pub(crate) estimate: Option<(u64, Span)>,
+    /// Sequence number of the last grant to it.
+    pub(crate) last_grant: u64,
+    /// Total of the slots granted to it.
     total: u32,
-    /// The last lend that it has seen.
-    pub(crate) seen: u64,
-    /// When it was last told.
-    pub(crate) told: Option<Time>,
-    /// When it was last told the levels of the workspaces that wait there.
-    pub(crate) levels: Option<Time>,
-    /// When it was last told limits of replicas, and which.
-    pub(super) limits: (Option<Time>, BTreeMap<ReplicaKey, u32>),
-    /// Set by a report that could not be understood, to its term.
-    pub(crate) puzzled: Option<u32>,
-    /// Whether it has to be told.
-    pub(crate) dirty: bool,
-    /// The last report that it was told to be seen.
-    pub(crate) acked: u64,
+    /// Sequence number of the last grant that it has acknowledged.
+    pub(crate) seen_grant: u64,
+    /// When the last message was sent to it.
+    pub(crate) last_sent: Option<Time>,
+    /// When it was last sent the virtual times of its backlogged workspaces.
+    pub(crate) virtual_times_sent: Option<Time>,
+    /// When it was last sent limits of replicas, and the limits sent.
+    pub(super) sent_limits: (Option<Time>, BTreeMap<ReplicaKey, u32>),
+    /// Set to the term of a report whose base is unknown, to request a full report.
+    pub(crate) full_report_term: Option<u32>,
+    /// Whether its next grant differs from the last one sent.
+    pub(crate) changed: bool,
+    /// The last report that was acknowledged to it.
+    pub(crate) acked_report: u64,
 }
 
-impl Borrower {
+impl Grantee {
     pub(crate) fn new(incarnation: Incarnation, zone: Zone, state: PeerState, now: Time) -> Self {
-        Borrower {
+        Grantee {
             incarnation,
             zone,
-            home: false,
+            preferred: false,
             state,
-            since: now,
+            state_since: now,
             term: 0,
-            report: 0,
-            cells: Vec::new(),
-            strays: BTreeMap::new(),
+            last_report: 0,
+            granted_slots: Vec::new(),
+            unknown_kept: BTreeMap::new(),
             running: 0,
-            peak: 0.0,
-            noted: now,
-            waits: Vec::new(),
-            pace: None,
-            lend: 0,
+            peak_demand: 0.0,
+            peak_updated: now,
+            demands: Vec::new(),
+            estimate: None,
+            last_grant: 0,
             total: 0,
-            seen: 0,
-            told: None,
-            levels: None,
-            limits: (None, BTreeMap::new()),
-            puzzled: None,
-            dirty: false,
-            acked: 0,
+            seen_grant: 0,
+            last_sent: None,
+            virtual_times_sent: None,
+            sent_limits: (None, BTreeMap::new()),
+            full_report_term: None,
+            changed: false,
+            acked_report: 0,
         }
     }
 
-    /// Returns whether it was heard as this incarnation.
-    pub(crate) fn heard(&self) -> bool {
-        self.report > 0
+    /// Returns whether this incarnation has reported.
+    pub(crate) fn has_reported(&self) -> bool {
+        self.last_report > 0
     }
 
-    /// Returns whether slots may be lent to it.
-    pub(crate) fn takes(&self) -> bool {
-        self.heard() && self.state == PeerState::Live
+    /// Returns whether slots may be granted to it.
+    pub(crate) fn can_be_granted(&self) -> bool {
+        self.has_reported() && self.state == PeerState::Live
     }
 
-    /// Returns how many slots it was lent in all.
+    /// Returns the total of the slots granted to it.
     pub(crate) fn total(&self) -> u32 {
         self.total
     }
 
-    /// Returns how many slots it may be using in all.
+    /// Returns the total of the slots that it may be using.
     pub(crate) fn held(&self) -> u32 {
-        self.cells.iter().map(Cell::holds).sum()
+        self.granted_slots.iter().map(GrantedSlots::reserved).sum()
     }
 
-    /// Lends one more slot of a replica.
-    pub(crate) fn raise(&mut self, at: usize) {
-        let cell = &mut self.cells[at];
-        cell.lend(cell.lent + 1, self.lend + 1);
+    /// Grants one more slot of a replica.
+    pub(crate) fn grant_one(&mut self, at: usize) {
+        let entry = &mut self.granted_slots[at];
+        entry.set_granted(entry.granted + 1, self.last_grant + 1);
         self.total += 1;
-        self.dirty = true;
+        self.changed = true;
     }
 
-    /// Asks one slot of a replica back.
-    pub(crate) fn lower(&mut self, at: usize) {
-        let cell = &mut self.cells[at];
-        if cell.lent > 0 {
-            cell.lend(cell.lent - 1, self.lend + 1);
+    /// Revokes one slot of a replica.
+    pub(crate) fn revoke_one(&mut self, at: usize) {
+        let entry = &mut self.granted_slots[at];
+        if entry.granted > 0 {
+            entry.set_granted(entry.granted - 1, self.last_grant + 1);
             self.total -= 1;
-            self.dirty = true;
+            self.changed = true;
         }
     }
 
-    /// Follows a change of the pool's replicas.
-    pub(crate) fn reorder(&mut self, old: &[ReplicaKey], new: &[ReplicaKey]) {
-        let cells = std::mem::take(&mut self.cells);
-        let mut known: BTreeMap<ReplicaKey, Cell> = old.iter().copied().zip(cells).collect();
+    /// Adapts to a change of the pool's replicas.
+    pub(crate) fn reindex(&mut self, old: &[ReplicaKey], new: &[ReplicaKey]) {
+        let previous = std::mem::take(&mut self.granted_slots);
+        let mut known: BTreeMap<ReplicaKey, GrantedSlots> =
+            old.iter().copied().zip(previous).collect();
         for key in new {
-            let mut cell = known.remove(key).unwrap_or_default();
-            cell.kept = cell.kept.max(self.strays.remove(key).unwrap_or(0));
-            self.cells.push(cell);
+            let mut entry = known.remove(key).unwrap_or_default();
+            entry.kept = entry.kept.max(self.unknown_kept.remove(key).unwrap_or(0));
+            self.granted_slots.push(entry);
         }
-        for (key, cell) in known.into_iter().filter(|(_, c)| c.kept > 0) {
-            self.strays.insert(key, cell.kept);
+        for (key, entry) in known.into_iter().filter(|(_, c)| c.kept > 0) {
+            self.unknown_kept.insert(key, entry.kept);
         }
-        self.total = self.cells.iter().map(|c| c.lent).sum();
+        self.total = self.granted_slots.iter().map(|c| c.granted).sum();
     }
 
-    /// Returns how many of its running requests belong to workspaces that do not wait.
+    /// Returns the number of its running requests that belong to workspaces without a queue there.
     ///
-    /// Their slots come free as they end.
-    pub(crate) fn passing(&self) -> u32 {
-        let waiting: u32 = self.waits.iter().map(|w| w.running).sum();
+    /// Their slots become free as they end.
+    pub(crate) fn unqueued_running(&self) -> u32 {
+        let waiting: u32 = self.demands.iter().map(|w| w.running).sum();
         self.running.saturating_sub(waiting)
     }
 
-    /// Notes how much it needs; the most of the last seconds counts.
-    pub(crate) fn note_need(&mut self, now: Time) {
-        let dt = now.since(self.noted).as_secs();
-        self.noted = now;
-        let need = f64::from(self.running + self.waiting());
-        self.peak = need.max(self.peak * (-dt / PEAK.as_secs()).exp());
+    /// Updates the decaying peak of its demand.
+    pub(crate) fn update_peak(&mut self, now: Time) {
+        let dt = now.since(self.peak_updated).as_secs();
+        self.peak_updated = now;
+        let demand = f64::from(self.running + self.waiting());
+        self.peak_demand = demand.max(self.peak_demand * (-dt / PEAK_DECAY.as_secs()).exp());
     }
 
-    /// Returns how many requests wait there.
+    /// Returns the number of requests queued there.
     pub(crate) fn waiting(&self) -> u32 {
-        self.waits.iter().map(|w| w.queued).sum()
+        self.demands.iter().map(|w| w.queued).sum()
     }
 
     /// Returns whether it uses the service.
-    pub(crate) fn busy(&self) -> bool {
-        self.running > 0 || !self.waits.is_empty()
+    pub(crate) fn uses_service(&self) -> bool {
+        self.running > 0 || !self.demands.is_empty()
     }
 
-    /// Takes in a later report. `at` finds a replica's place.
-    pub(crate) fn report(&mut self, r: Report, at: impl Fn(ReplicaKey) -> Option<usize>) {
-        self.report = r.seq;
+    /// Applies a later report. `at` returns the index of a replica.
+    pub(crate) fn apply_report(&mut self, r: Report, at: impl Fn(ReplicaKey) -> Option<usize>) {
+        self.last_report = r.seq;
         if r.base == 0 {
-            self.strays.clear();
-            self.cells.iter_mut().for_each(|c| c.kept = 0);
+            self.unknown_kept.clear();
+            self.granted_slots.iter_mut().for_each(|c| c.kept = 0);
         }
         for (key, n) in r.kept {
             match at(key) {
-                Some(at) => self.cells[at].kept = n,
+                Some(at) => self.granted_slots[at].kept = n,
                 None => {
-                    self.strays.insert(key, n);
+                    self.unknown_kept.insert(key, n);
                 }
             }
         }
         if r.term != self.term {
             self.term = r.term;
-            self.seen = 0;
-            self.cells.iter_mut().for_each(Cell::adopt);
-            self.dirty = true;
+            self.seen_grant = 0;
+            self.granted_slots.iter_mut().for_each(GrantedSlots::adopt);
+            self.changed = true;
         }
-        self.seen = self.seen.max(r.seen);
-        // It answers the last lend, so what it keeps less than lent it has given back.
-        let last = r.seen == self.lend;
-        for cell in &mut self.cells {
-            cell.seen(r.seen);
-            if last {
-                cell.lent = cell.lent.min(cell.kept);
+        self.seen_grant = self.seen_grant.max(r.seen);
+        // The report acknowledges the last grant, so missing slots were released.
+        let current = r.seen == self.last_grant;
+        for entry in &mut self.granted_slots {
+            entry.confirm(r.seen);
+            if current {
+                entry.granted = entry.granted.min(entry.kept);
             }
         }
-        self.total = self.cells.iter().map(|c| c.lent).sum();
+        self.total = self.granted_slots.iter().map(|c| c.granted).sum();
         self.running = r.running;
-        if let Some(waits) = r.waits {
-            self.waits = waits;
+        if let Some(demands) = r.demands {
+            self.demands = demands;
         }
-        self.cells.iter_mut().for_each(|c| c.shunned = false);
-        for at in r.shuns.iter().filter_map(|key| at(*key)) {
-            self.cells[at].shunned = true;
+        self.granted_slots
+            .iter_mut()
+            .for_each(|c| c.unusable = false);
+        for at in r.avoided.iter().filter_map(|key| at(*key)) {
+            self.granted_slots[at].unusable = true;
         }
-        for load in r.loads.iter().flat_map(|l| &l.seats) {
+        for load in r.loads.iter().flat_map(|l| &l.replicas) {
             if let Some(at) = at(load.key) {
-                self.cells[at].running = load.running;
+                self.granted_slots[at].running = load.running;
             }
         }
-        if let Some(l) = r.loads.filter(|l| l.cost > 0 && l.run > Span::ZERO) {
-            self.pace = Some((l.cost, l.run));
+        if let Some(l) = r.loads.filter(|l| l.cost > 0 && l.run_time > Span::ZERO) {
+            self.estimate = Some((l.cost, l.run_time));
         }
     }
 
-    /// Returns whether there is a free slot that it would use.
-    pub(crate) fn helped(&self, free: &[i64]) -> bool {
-        let mut all = self.cells.iter().zip(free);
-        let shuns = self.cells.iter().any(|c| c.shunned);
-        !shuns || all.any(|(cell, n)| *n > 0 && !cell.shunned)
+    /// Returns whether it could use any free slot.
+    pub(crate) fn can_use_free(&self, free: &[i64]) -> bool {
+        let mut all = self.granted_slots.iter().zip(free);
+        let avoided = self.granted_slots.iter().any(|c| c.unusable);
+        !avoided || all.any(|(entry, n)| *n > 0 && !entry.unusable)
     }
 
-    /// Returns the replicas that can take nothing of what waits there.
-    pub(crate) fn shuns(&self) -> Vec<usize> {
-        let all = self.cells.iter().enumerate();
-        all.filter(|(_, c)| c.shunned).map(|(at, _)| at).collect()
+    /// Returns the replicas that can serve none of the requests queued there.
+    pub(crate) fn avoided_replicas(&self) -> Vec<usize> {
+        let all = self.granted_slots.iter().enumerate();
+        all.filter(|(_, c)| c.unusable).map(|(at, _)| at).collect()
     }
 
-    /// Forgets all that it held, as it is believed to be dead.
-    pub(crate) fn bury(&mut self) {
-        self.cells.iter_mut().for_each(|c| *c = Cell::default());
-        self.strays.clear();
+    /// Clears its slots, as the router is presumed dead.
+    pub(crate) fn clear_held(&mut self) {
+        self.granted_slots
+            .iter_mut()
+            .for_each(|c| *c = GrantedSlots::default());
+        self.unknown_kept.clear();
         self.total = 0;
-        self.waits.clear();
+        self.demands.clear();
         self.running = 0;
-        self.report = self.report.max(1);
+        self.last_report = self.last_report.max(1);
     }
 }
--- a/crates/policy/src/pool/grants.rs
+++ b/crates/policy/src/pool/grants.rs
@@ -1,16 +1,16 @@
-//! What the owner of a pool tells a router.
+//! Grants that the owner of a pool sends to a router.
 
 use {
     super::{
-        Borrower,
-        Cell,
-        Lot, //
+        GrantedSlots,
+        Grantee,
+        OwnedSlots, //
     },
     crate::{
         dispatch::{
             ServiceKey,
             SlotGrant,
-            Wait, //
+            WorkspaceDemand, //
         },
         service::ReplicaKey,
         Span,
@@ -18,116 +18,124 @@
     },
 };
 
-/// Shortest time between two lists of limits to one router.
-const LIMITS: Span = Span::secs(2);
-/// Shortest time between two lends to one router.
-const LEND: Span = Span::millis(10);
-/// A lend that was not acknowledged is sent again after this time.
-const AGAIN: Span = Span::millis(500);
+/// Minimum interval between two lists of limits to one router.
+const LIMITS_INTERVAL: Span = Span::secs(2);
+/// Minimum interval between two grants to one router.
+const MIN_GRANT_INTERVAL: Span = Span::millis(10);
+/// An unacknowledged grant is resent after this time.
+const RESEND_TIMEOUT: Span = Span::millis(500);
 /// A report is acknowledged within this time.
-const ACK: Span = Span::millis(190);
+const ACK_INTERVAL: Span = Span::millis(190);
 
-/// What all routers are told alike.
+/// The fields that all grants of a pool have in common.
 #[derive(Debug)]
-pub(crate) struct Common {
+pub(crate) struct GrantHeader {
     pub(crate) service: ServiceKey,
-    pub(crate) pressed: bool,
+    pub(crate) contended: bool,
     pub(crate) capacity: u32,
     pub(crate) sharers: u32,
 }
 
-impl Common {
-    /// Asks a router to tell all that it keeps.
-    pub(crate) fn ask_all(&self, term: u32) -> SlotGrant {
+impl GrantHeader {
+    /// Creates a grant that asks a router to report all slots that it keeps.
+    pub(crate) fn request_full_report(&self, term: u32) -> SlotGrant {
         SlotGrant {
             service: self.service,
             term,
             seq: 0,
             base: 0,
             seen: 0,
-            pressed: self.pressed,
+            contended: self.contended,
             capacity: self.capacity,
             sharers: self.sharers,
             slots: Vec::new(),
-            levels: Vec::new(),
+            virtual_times: Vec::new(),
             limits: Vec::new(),
         }
     }
 }
 
-impl Borrower {
-    /// Returns what it is to be told, if that is due: the slots that changed since the
-    /// lend that it has seen.
-    pub(crate) fn lend_due(
+impl Grantee {
+    /// Returns the grant that is due, if any: the slots that changed since the last grant that the
+    /// router has acknowledged.
+    pub(crate) fn due_grant(
         &mut self,
-        c: &Common,
-        lots: &[Lot],
-        level: impl Fn(&Wait) -> i64,
-        open: bool,
+        header: &GrantHeader,
+        owned_slots: &[OwnedSlots],
+        virtual_time: impl Fn(&WorkspaceDemand) -> i64,
+        may_send: bool,
         now: Time,
     ) -> Option<SlotGrant> {
-        let passed = self.told.map_or(AGAIN, |t| now.since(t));
-        let again = self.seen < self.lend && passed >= AGAIN;
-        let ack = self.acked < self.report && passed >= ACK;
-        let first = self.lend == 0;
-        let news = first || self.dirty && open;
-        if !(news || again || ack) {
+        let passed = self.last_sent.map_or(RESEND_TIMEOUT, |t| now.since(t));
+        let resend = self.seen_grant < self.last_grant && passed >= RESEND_TIMEOUT;
+        let ack = self.acked_report < self.last_report && passed >= ACK_INTERVAL;
+        let first = self.last_grant == 0;
+        let update = first || self.changed && may_send;
+        if !(update || resend || ack) {
             return None;
         }
-        if self.dirty || first {
-            self.lend += 1;
+        if self.changed || first {
+            self.last_grant += 1;
         }
-        let mut levels = Vec::new();
-        if self.levels.is_none_or(|t| now.since(t) >= ACK) {
-            self.levels = Some(now);
-            levels = self.waits.iter().map(level).collect();
+        let mut virtual_times = Vec::new();
+        if self
+            .virtual_times_sent
+            .is_none_or(|t| now.since(t) >= ACK_INTERVAL)
+        {
+            self.virtual_times_sent = Some(now);
+            virtual_times = self.demands.iter().map(virtual_time).collect();
         }
-        self.dirty = false;
-        self.told = Some(now);
-        self.acked = self.report;
-        let base = self.seen;
-        let news = |cell: &Cell| match base {
-            0 => cell.lent > 0,
-            _ => cell.touched > base,
+        self.changed = false;
+        self.last_sent = Some(now);
+        self.acked_report = self.last_report;
+        let base = self.seen_grant;
+        let is_changed = |entry: &GrantedSlots| match base {
+            0 => entry.granted > 0,
+            _ => entry.changed_in > base,
         };
-        let cells = lots.iter().zip(&self.cells);
+        let pairs = owned_slots.iter().zip(&self.granted_slots);
         Some(SlotGrant {
-            service: c.service,
+            service: header.service,
             term: self.term,
-            seq: self.lend,
+            seq: self.last_grant,
             base,
-            seen: self.report,
-            pressed: c.pressed,
-            capacity: c.capacity,
-            sharers: c.sharers,
-            slots: cells
-                .filter(|(_, cell)| news(cell))
-                .map(|(lot, cell)| (lot.key, cell.lent))
+            seen: self.last_report,
+            contended: header.contended,
+            capacity: header.capacity,
+            sharers: header.sharers,
+            slots: pairs
+                .filter(|(_, entry)| is_changed(entry))
+                .map(|(owned, entry)| (owned.key, entry.granted))
                 .collect(),
-            levels,
+            virtual_times,
             limits: Vec::new(),
         })
     }
 
-    /// Returns the limits that changed, if it should hear them, as it owns the pool next.
-    pub(crate) fn limits_due(&mut self, lots: &[Lot], now: Time) -> Vec<(ReplicaKey, u32)> {
-        let (at, told) = &mut self.limits;
-        if at.is_some_and(|t| now.since(t) < LIMITS) {
+    /// Returns the changed limits that are due, for the successor of the owner.
+    pub(crate) fn due_limits(
+        &mut self,
+        owned_slots: &[OwnedSlots],
+        now: Time,
+    ) -> Vec<(ReplicaKey, u32)> {
+        let (at, sent) = &mut self.sent_limits;
+        if at.is_some_and(|t| now.since(t) < LIMITS_INTERVAL) {
             return Vec::new();
         }
         *at = Some(now);
         let mut out = Vec::new();
-        for lot in lots {
-            let limit = lot.limit();
-            if told.insert(lot.key, limit) != Some(limit) {
-                out.push((lot.key, limit));
+        for owned in owned_slots {
+            let limit = owned.limit();
+            if sent.insert(owned.key, limit) != Some(limit) {
+                out.push((owned.key, limit));
             }
         }
         out
     }
 
-    /// Returns whether it was not told just now.
-    pub(crate) fn rested(&self, now: Time) -> bool {
-        self.told.is_none_or(|t| now.since(t) >= LEND)
+    /// Returns whether the last message to it is long enough ago.
+    pub(crate) fn can_send(&self, now: Time) -> bool {
+        self.last_sent
+            .is_none_or(|t| now.since(t) >= MIN_GRANT_INTERVAL)
     }
 }
--- a/crates/policy/src/pool/liveness.rs
+++ b/crates/policy/src/pool/liveness.rs
@@ -1,8 +1,8 @@
-//! What the owner of a pool believes of its routers, and whether slots are short.
+//! Liveness of the routers of a pool, and whether the pool is contended.
 
 use {
     super::{
-        Borrower,
+        Grantee,
         Pool, //
     },
     crate::{
@@ -12,83 +12,85 @@
     },
 };
 
-/// How long there must be more work than slots until the pool counts as pressed.
-const FULL: Span = Span::millis(100);
-/// How long the pool counts as pressed after there last was more work than slots.
-const PRESSED: Span = Span::millis(300);
-/// A router that never reported is taken to hold its fraction for this time.
-const UNHEARD: Span = Span::secs(5);
-/// A new owner waits this long for reports of the live routers before it lends.
-const GATHER: Span = Span::secs(1);
-/// A router that vanished alone gets its slots taken back after this time.
-const VANISHED: Span = Span::secs(2);
-/// If many vanished at once, a partition is likely and they may run on for long.
-const CUT_OFF: Span = Span::secs(30);
+/// Demand must exceed the slots for this time before the pool counts as contended.
+const CONTENDED_AFTER: Span = Span::millis(100);
+/// The pool counts as contended for this time after demand last exceeded the slots.
+const CONTENDED_HOLD: Span = Span::millis(300);
+/// A router without any report is assumed to hold its static share for this time.
+const UNREPORTED_TIMEOUT: Span = Span::secs(5);
+/// A new owner waits this long for the reports of live routers before it grants slots.
+const GATHER_TIMEOUT: Span = Span::secs(1);
+/// The slots of a single router that fell silent are reclaimed after this time.
+const SUSPECT_TIMEOUT: Span = Span::secs(2);
+/// If many fell silent together, a partition is likely, and they may keep running for long.
+const PARTITION_TIMEOUT: Span = Span::secs(30);
 
 impl Pool {
-    /// Returns whether this owner is so new that it does not know yet who holds what.
+    /// Returns whether this owner is so new that it doesn't know yet which router holds what.
     ///
-    /// It would lend slots a second time that routers hold from the last owner, which
-    /// shows as replicas above their limit. Each router reports to a new owner at once.
-    pub(super) fn gathers(&self, now: Time) -> bool {
-        let unheard = |b: &Borrower| b.state == PeerState::Live && self.unheard(b);
-        now.since(self.since) < GATHER && self.borrowers.values().any(unheard)
+    /// It would grant slots again that routers hold from the last owner, and replicas would exceed
+    /// their limits. Each router reports to a new owner at once.
+    pub(super) fn is_gathering_reports(&self, now: Time) -> bool {
+        let unreported = |g: &Grantee| g.state == PeerState::Live && self.may_hold_unreported(g);
+        now.since(self.owned_since) < GATHER_TIMEOUT && self.grantees.values().any(unreported)
     }
 
-    /// Takes slots back from routers that are believed to be dead.
+    /// Reclaims slots from routers that are presumed dead.
     pub(super) fn reclaim(&mut self, now: Time) {
-        let known = self.borrowers.len();
+        let known = self.grantees.len();
         let live = self
-            .borrowers
+            .grantees
             .values()
-            .filter(|b| b.state != PeerState::Suspect)
+            .filter(|g| g.state != PeerState::Suspect)
             .count();
-        // A partition shows as many routers that fall silent together. They may run on
-        // with what they hold, so their slots are not lent again until the list would
-        // have dropped the dead. One router that falls silent alone is likely dead.
-        let wait = if live * 3 >= known * 2 {
-            VANISHED
+        // In a partition many routers fall silent together and may keep using their slots, so these
+        // are not granted again until the list would have dropped dead routers. A single router
+        // that falls silent is probably dead.
+        let timeout = if live * 3 >= known * 2 {
+            SUSPECT_TIMEOUT
         } else {
-            CUT_OFF
+            PARTITION_TIMEOUT
         };
-        for b in self.borrowers.values_mut() {
-            if b.state == PeerState::Suspect && now.since(b.since) >= wait {
-                self.changed |= b.held() > 0;
-                b.bury();
+        for g in self.grantees.values_mut() {
+            if g.state == PeerState::Suspect && now.since(g.state_since) >= timeout {
+                self.changed |= g.held() > 0;
+                g.clear_held();
             }
-            if !b.heard() && now.since(b.since) >= UNHEARD {
-                b.report = 1;
+            if !g.has_reported() && now.since(g.state_since) >= UNREPORTED_TIMEOUT {
+                g.last_report = 1;
                 self.changed = true;
             }
         }
     }
 
-    /// Notes whether more work is there than slots.
-    pub(super) fn press(&mut self, now: Time) {
-        let takers = || self.borrowers.values().filter(|b| b.takes());
-        let demand: u32 = takers().map(|b| b.running + b.waiting()).sum();
-        if takers().any(|b| b.waiting() > 0) && demand >= self.capacity() {
-            let since = *self.full.get_or_insert(now);
-            // A peak that passes by itself is not worth taking all spare slots back.
-            if self.pressed || now.since(since) >= FULL {
-                self.waited = Some(now);
+    /// Updates whether demand exceeds the slots.
+    pub(super) fn update_contention(&mut self, now: Time) {
+        let eligible = || self.grantees.values().filter(|g| g.can_be_granted());
+        let demand: u32 = eligible().map(|g| g.running + g.waiting()).sum();
+        if eligible().any(|g| g.waiting() > 0) && demand >= self.capacity() {
+            let since = *self.full_since.get_or_insert(now);
+            // A short peak is not worth revoking all spare slots.
+            if self.contended || now.since(since) >= CONTENDED_AFTER {
+                self.last_full = Some(now);
             }
         } else {
-            self.full = None;
+            self.full_since = None;
         }
-        let pressed = self.waited.is_some_and(|t| now.since(t) < PRESSED);
-        if pressed != self.pressed {
-            self.pressed = pressed;
-            for b in self.borrowers.values_mut() {
-                b.dirty = true;
+        let contended = self
+            .last_full
+            .is_some_and(|t| now.since(t) < CONTENDED_HOLD);
+        if contended != self.contended {
+            self.contended = contended;
+            for g in self.grantees.values_mut() {
+                g.changed = true;
             }
         }
     }
 
-    /// Returns whether a router may hold slots that it has not told of yet.
+    /// Returns whether a router may hold slots that it has not reported yet.
     ///
-    /// One that is no home holds some only if it says so.
-    pub(super) fn unheard(&self, b: &Borrower) -> bool {
-        !b.heard() && b.home
+    /// A router that is not preferred holds slots only if it says so.
+    pub(super) fn may_hold_unreported(&self, g: &Grantee) -> bool {
+        !g.has_reported() && g.preferred
     }
 }
--- a/crates/policy/src/pool/mod.rs
+++ b/crates/policy/src/pool/mod.rs
@@ -1,4 +1,4 @@
-//! Slots of replicas, lent by an owner to the routers where work waits.
+//! Pools of slots: the owner of a pool grants its slots to the routers where requests are queued.
 
 mod byte_budget;
 mod client;
@@ -15,20 +15,20 @@
 mod water_fill;
 
 pub(crate) use self::{
-    byte_budget::Bucket,
-    client::Hold,
+    byte_budget::ByteBudget,
+    client::PoolClient,
     owner::Pool, //
 };
 use self::{
-    estimate::Pace, //
-    granted_slots::Cell,
-    grantee::Borrower,
-    owned_slots::Lot,
+    estimate::RequestEstimate,
+    granted_slots::GrantedSlots,
+    grantee::Grantee,
+    owned_slots::OwnedSlots,
     water_fill::{
-        fill,
-        Row, //
+        water_fill,
+        Claimant, //
     },
 };
 
-/// Limits of replicas, as last heard of.
+/// Concurrency limits of replicas, as last received.
 pub(crate) type Limits = std::collections::BTreeMap<crate::service::ReplicaKey, u32>;
--- a/crates/policy/src/pool/owned_slots.rs
+++ b/crates/policy/src/pool/owned_slots.rs
@@ -1,7 +1,7 @@
-//! A replica of a pool and its learnt limit.
+//! The slots of a replica and its learnt concurrency limit.
 
 use crate::{
-    dispatch::Load,
+    dispatch::ReplicaLoad,
     limit::Limit,
     service::ReplicaKey,
     Slots,
@@ -9,51 +9,51 @@
     Zone, //
 };
 
-/// A replica of a pool.
+/// The slots of one replica of a pool.
 #[derive(Debug)]
-pub(crate) struct Lot {
+pub(crate) struct OwnedSlots {
     pub(crate) key: ReplicaKey,
     pub(crate) zone: Zone,
     limit: Limit,
 }
 
-impl Lot {
-    pub(crate) fn new(key: ReplicaKey, zone: Zone, start: Slots) -> Lot {
-        Lot {
+impl OwnedSlots {
+    pub(crate) fn new(key: ReplicaKey, zone: Zone, start: Slots) -> OwnedSlots {
+        OwnedSlots {
             key,
             zone,
             limit: Limit::new(start),
         }
     }
 
-    /// Returns how many requests may run on it at once.
+    /// Returns how many requests may run on it concurrently.
     pub(crate) fn limit(&self) -> u32 {
         self.limit.get().0
     }
 
-    /// Returns whether it runs fewer requests for a while, to see whether they are faster.
+    /// Returns whether it runs fewer requests for a while, to probe its baseline latency.
     pub(crate) fn probing(&self) -> bool {
         self.limit.probing()
     }
 
-    /// Returns how many slots that takes.
+    /// Returns the number of slots that a probe takes.
     pub(crate) fn probe_cost(&self) -> u32 {
         self.limit.probe_cost().0
     }
 
-    /// Learns from how it answered one router, while `running` ran in all.
-    pub(crate) fn learn(&mut self, load: &Load, running: u32, probe: bool, now: Time) {
+    /// Updates the limit from the performance one router observed; `running` counts the requests
+    /// of all routers.
+    pub(crate) fn learn(&mut self, load: &ReplicaLoad, running: u32, probe: bool, now: Time) {
         let running = Slots(running);
         self.limit.allow_probe(probe);
         self.limit
-            .sample(load.first, load.gap, running, load.ok, now);
-        if let Some((runs, waits)) = load.said {
+            .sample(load.first_byte, load.token_gap, running, load.ok, now);
+        if let Some((runs, waits)) = load.self_reported {
             self.limit.load(runs, waits, now);
         }
     }
 
-    /// Begins at least at what the routers use, where the owner is new and the limit was
-    /// learnt by another.
+    /// Raises the limit to the one that a previous owner has learnt.
     pub(crate) fn inherit(&mut self, used: u32) {
         if used > self.limit() {
             self.limit = Limit::new(Slots(used));
--- a/crates/policy/src/pool/owner.rs
+++ b/crates/policy/src/pool/owner.rs
@@ -1,26 +1,26 @@
-//! The owner's side of a pool: who gets how many slots.
+//! The owner's side of a pool: distribution of its slots among the routers.
 
 use {
     super::{
-        grants::Common,
-        Borrower,
-        Bucket,
-        Cell,
+        grants::GrantHeader,
+        ByteBudget,
+        GrantedSlots,
+        Grantee,
         Limits,
-        Lot,
-        Pace, //
+        OwnedSlots,
+        RequestEstimate, //
     },
     crate::{
         dispatch::{
-            Load,
+            ReplicaLoad,
             Report,
             ServiceKey,
             SlotGrant,
-            Wait, //
+            WorkspaceDemand, //
         },
         service::{
             ReplicaKey,
-            Seats, //
+            ServiceReplicas, //
         },
         shares::{
             Ledger,
@@ -43,295 +43,322 @@
     },
 };
 
-/// Shortest time between two plans that take slots back.
-const PLAN: Span = Span::millis(100);
-/// Shortest time between two plans that spread what is idle.
-const SPREAD: Span = Span::millis(500);
-/// Shortest time between two plans, for each replica of each router.
-const PAIR: Span = Span(8);
-/// Bytes a second that an owner sends, and the most that it saves up.
-const TELLS: f64 = 8_000.0;
-const BURST: f64 = 3_000.0;
-/// The part of a pool, one in so many, that may be taken away to learn a limit.
-const PROBED_PART: u32 = 50;
-/// A pool where one slot is more than that learns so once in this time.
-const PROBED: Span = Span::secs(120);
-/// How many times all slots one workspace may be ahead.
-const DEBT: f64 = 2.0;
+/// Minimum interval between two plans that revoke slots while the pool is contended.
+const REVOKE_INTERVAL: Span = Span::millis(100);
+/// The same while the pool is not contended.
+const IDLE_REVOKE_INTERVAL: Span = Span::millis(500);
+/// Minimum interval between two plans, for each pair of a replica and a router.
+const PLAN_TIME_PER_PAIR: Span = Span(8);
+/// Rate at which an owner may send grants, and the size of a burst.
+const GRANT_BYTES_PER_SEC: f64 = 8_000.0;
+const GRANT_BURST_BYTES: f64 = 3_000.0;
+/// A probe that takes at most 1/50 of the pool's slots may run at any time.
+const PROBE_DIVISOR: u32 = 50;
+/// Minimum interval between two probes that take more.
+const LARGE_PROBE_INTERVAL: Span = Span::secs(120);
+/// Maximum lead of a workspace, in multiples of the cost of requests on all slots.
+const DEBT_FACTOR: f64 = 2.0;
 
 /// A pool of slots, at its owner.
 #[derive(Debug)]
 pub(crate) struct Pool {
     service: ServiceKey,
-    /// The replicas, by key.
-    pub(super) lots: Vec<Lot>,
-    pub(super) borrowers: BTreeMap<RouterId, Borrower>,
-    pub(crate) pressed: bool,
-    /// Since when this router owns the pool.
-    pub(super) since: Time,
-    /// Since when there is more work than slots.
-    pub(super) full: Option<Time>,
-    /// When there last was more work than slots, for a while.
-    pub(super) waited: Option<Time>,
-    planned: Time,
-    /// When it was last planned at all.
-    ran: Time,
+    /// The slots of each replica, ordered by its key.
+    pub(super) owned_slots: Vec<OwnedSlots>,
+    pub(super) grantees: BTreeMap<RouterId, Grantee>,
+    pub(crate) contended: bool,
+    /// When this router became the owner.
+    pub(super) owned_since: Time,
+    /// Since when demand has exceeded the slots.
+    pub(super) full_since: Option<Time>,
+    /// When demand last exceeded the slots, after it had done so for `CONTENDED_AFTER`.
+    pub(super) last_full: Option<Time>,
+    last_revoke: Time,
+    /// When the last plan of any kind was made.
+    last_plan: Time,
     pub(super) changed: bool,
-    /// When a replica last ran fewer requests to learn its limit.
-    probed: Time,
-    /// The router that owns the pool next.
-    heir: Option<RouterId>,
-    bucket: Bucket,
+    /// When a replica last ran fewer requests to probe its baseline latency.
+    last_probe: Time,
+    /// The router that becomes the owner if this one fails.
+    successor: Option<RouterId>,
+    send_budget: ByteBudget,
 }
 
 impl Pool {
     pub(crate) fn new(service: ServiceKey, now: Time) -> Pool {
         Pool {
             service,
-            lots: Vec::new(),
-            borrowers: BTreeMap::new(),
-            pressed: false,
-            since: now,
-            full: None,
-            waited: None,
-            planned: now,
-            ran: Time(0),
-            heir: None,
+            owned_slots: Vec::new(),
+            grantees: BTreeMap::new(),
+            contended: false,
+            owned_since: now,
+            full_since: None,
+            last_full: None,
+            last_revoke: now,
+            last_plan: Time(0),
+            successor: None,
             changed: true,
-            probed: now,
-            bucket: Bucket::default(),
+            last_probe: now,
+            send_budget: ByteBudget::default(),
         }
     }
 
-    /// Takes over the replicas. What was learnt of those that stay is kept.
+    /// Replaces the replicas. What was learnt about those that remain is kept.
     ///
-    /// A replica that is new begins at the limit last heard of, else at `start`.
-    pub(crate) fn set_seats(&mut self, seats: &Seats, heard: &Limits, start: Slots) {
-        let was: Vec<ReplicaKey> = self.lots.iter().map(|l| l.key).collect();
-        let lots = std::mem::take(&mut self.lots);
-        let mut old: BTreeMap<ReplicaKey, Lot> = lots.into_iter().map(|l| (l.key, l)).collect();
-        for seat in seats.all.values().filter(|s| s.open()) {
-            let lot = old.remove(&seat.key).unwrap_or_else(|| {
-                let limit = heard.get(&seat.key).copied().map_or(start, Slots);
-                Lot::new(seat.key, seat.replica.zone.clone(), limit)
+    /// A new replica starts at its last known limit, or else at `start`.
+    pub(crate) fn set_replicas(
+        &mut self,
+        service_replicas: &ServiceReplicas,
+        known_limits: &Limits,
+        start: Slots,
+    ) {
+        let old_keys: Vec<ReplicaKey> = self.owned_slots.iter().map(|l| l.key).collect();
+        let previous = std::mem::take(&mut self.owned_slots);
+        let mut old: BTreeMap<ReplicaKey, OwnedSlots> =
+            previous.into_iter().map(|l| (l.key, l)).collect();
+        for slots in service_replicas.all.values().filter(|s| s.accepts_work()) {
+            let owned = old.remove(&slots.key).unwrap_or_else(|| {
+                let limit = known_limits.get(&slots.key).copied().map_or(start, Slots);
+                OwnedSlots::new(slots.key, slots.replica.zone.clone(), limit)
             });
-            self.lots.push(lot);
+            self.owned_slots.push(owned);
         }
-        self.lots.sort_by_key(|l| l.key);
-        let keys: Vec<ReplicaKey> = self.lots.iter().map(|l| l.key).collect();
-        if keys != was {
-            for b in self.borrowers.values_mut() {
-                b.reorder(&was, &keys);
+        self.owned_slots.sort_by_key(|l| l.key);
+        let keys: Vec<ReplicaKey> = self.owned_slots.iter().map(|l| l.key).collect();
+        if keys != old_keys {
+            for g in self.grantees.values_mut() {
+                g.reindex(&old_keys, &keys);
             }
         }
         self.changed = true;
     }
 
-    /// Returns the place of a replica.
-    fn at(lots: &[Lot], key: ReplicaKey) -> Option<usize> {
-        lots.binary_search_by_key(&key, |l| l.key).ok()
+    /// Returns the index of a replica.
+    fn index_of(owned_slots: &[OwnedSlots], key: ReplicaKey) -> Option<usize> {
+        owned_slots.binary_search_by_key(&key, |l| l.key).ok()
     }
 
-    /// Takes note of who owns the pool next.
-    pub(crate) fn set_heir(&mut self, heir: Option<RouterId>) {
-        self.heir = heir;
+    /// Sets the successor of the owner.
+    pub(crate) fn set_successor(&mut self, successor: Option<RouterId>) {
+        self.successor = successor;
     }
 
-    /// Takes over the routers, this one among them, and which of them are homes.
+    /// Replaces the routers, this one included, and the set of preferred ones.
     pub(crate) fn set_routers<'a>(
         &mut self,
         list: impl Iterator<Item = &'a Peer>,
-        homes: &BTreeSet<RouterId>,
+        preferred_routers: &BTreeSet<RouterId>,
         now: Time,
     ) {
-        let mut old = std::mem::take(&mut self.borrowers);
+        let mut old = std::mem::take(&mut self.grantees);
         for p in list {
-            let kept = old.remove(&p.id).filter(|b| b.incarnation == p.incarnation);
-            let mut b = match kept {
-                Some(b) => b,
+            let kept = old.remove(&p.id).filter(|g| g.incarnation == p.incarnation);
+            let mut g = match kept {
+                Some(g) => g,
                 None => {
-                    let mut b = Borrower::new(p.incarnation, p.zone.clone(), p.state, now);
-                    b.cells = vec![Cell::default(); self.lots.len()];
-                    b
+                    let mut g = Grantee::new(p.incarnation, p.zone.clone(), p.state, now);
+                    g.granted_slots = vec![GrantedSlots::default(); self.owned_slots.len()];
+                    g
                 }
             };
-            b.home = homes.contains(&p.id);
-            if b.state != p.state {
-                b.state = p.state;
-                b.since = now;
+            g.preferred = preferred_routers.contains(&p.id);
+            if g.state != p.state {
+                g.state = p.state;
+                g.state_since = now;
             }
-            self.borrowers.insert(p.id.clone(), b);
+            self.grantees.insert(p.id.clone(), g);
         }
         self.changed = true;
     }
 
-    /// Takes in what a router says of itself.
-    pub(crate) fn report(&mut self, from: &RouterId, inc: Incarnation, r: Report, now: Time) {
-        let Some(b) = self.borrowers.get_mut(from) else {
+    /// Processes a report of a router.
+    pub(crate) fn apply_report(&mut self, from: &RouterId, inc: Incarnation, r: Report, now: Time) {
+        let Some(g) = self.grantees.get_mut(from) else {
             return;
         };
-        if b.incarnation != inc || r.seq <= b.report {
+        if g.incarnation != inc || r.seq <= g.last_report {
             return;
         }
-        // It tells what changed since a report that was lost with the last owner's memory,
-        // or with this one's list of routers. It has to tell all.
-        if r.base > b.report {
-            b.puzzled = Some(r.term);
+        // The report contains the changes since an older one that was lost with the memory of the
+        // last owner, or with this owner's list of routers. Request a full report.
+        if r.base > g.last_report {
+            g.full_report_term = Some(r.term);
             return;
         }
         for (key, limit) in &r.limits {
-            if let Some(at) = Self::at(&self.lots, *key) {
-                self.lots[at].inherit(*limit);
+            if let Some(at) = Self::index_of(&self.owned_slots, *key) {
+                self.owned_slots[at].inherit(*limit);
             }
         }
-        let loads = r.loads.clone().map_or(Vec::new(), |l| l.seats);
-        b.report(r, |key| Self::at(&self.lots, key));
-        b.note_need(now);
-        self.learn(loads, now);
+        let loads = r.loads.clone().map_or(Vec::new(), |l| l.replicas);
+        g.apply_report(r, |key| Self::index_of(&self.owned_slots, key));
+        g.update_peak(now);
+        self.learn_limits(loads, now);
         self.changed = true;
     }
 
-    /// Learns from how the replicas answered a router.
-    fn learn(&mut self, loads: Vec<Load>, now: Time) {
+    /// Updates the limits of replicas from the performance that a router observed.
+    fn learn_limits(&mut self, loads: Vec<ReplicaLoad>, now: Time) {
         for load in loads {
-            let Some(at) = Self::at(&self.lots, load.key) else {
+            let Some(at) = Self::index_of(&self.owned_slots, load.key) else {
                 continue;
             };
-            let running = self.borrowers.values().map(|b| b.cells[at].running).sum();
+            let running = self
+                .grantees
+                .values()
+                .map(|g| g.granted_slots[at].running)
+                .sum();
             let probe = self.may_probe(at, now);
-            self.lots[at].learn(&load, running, probe, now);
-            if self.lots[at].probing() {
-                self.probed = now;
+            self.owned_slots[at].learn(&load, running, probe, now);
+            if self.owned_slots[at].probing() {
+                self.last_probe = now;
             }
         }
     }
 
-    /// Returns whether a replica may run fewer requests for a while, to see whether they are
+    /// Returns whether a replica may run fewer requests for a while, to see whether they become
     /// faster.
     ///
-    /// If all replicas did so at the same moment, a tenth of the pool would stand idle while
-    /// work waits. So one does it at a time, and where even that is more than a small part
-    /// of the pool, rarely.
+    /// If all replicas did so at the same time, a tenth of the pool would be idle while requests
+    /// are queued. So only one replica probes at a time, and rarely if its probe takes more than a
+    /// small part of the pool.
     fn may_probe(&self, at: usize, now: Time) -> bool {
-        let small = self.lots[at].probe_cost() * PROBED_PART <= self.capacity() || !self.pressed;
-        let rare = now.since(self.probed) >= PROBED;
-        (small || rare) && !self.lots.iter().any(Lot::probing)
+        let cheap =
+            self.owned_slots[at].probe_cost() * PROBE_DIVISOR <= self.capacity() || !self.contended;
+        let rare = now.since(self.last_probe) >= LARGE_PROBE_INTERVAL;
+        (cheap || rare) && !self.owned_slots.iter().any(OwnedSlots::probing)
     }
 
-    /// Returns how far ahead of the others a backlogged workspace may be, in thousandths
-    /// of a unit, if the cost of requests is known.
+    /// Returns the maximum lead of a backlogged workspace over the others, in thousandths of a
+    /// unit, if the cost of requests is known.
     ///
-    /// It is well above what happens without faults: all slots in the hands of one
-    /// workspace, some times over.
+    /// It is well above the lead that arises without faults: one workspace having all slots
+    /// several times over.
     pub(crate) fn debt(&self, rules: &ServiceRules) -> Option<i64> {
-        let pace = Pace::of(self.borrowers.values());
-        let all = f64::from(self.capacity()) * pace.cost;
-        let more = (rules.window.0 + rules.credit.0) * MILLI;
-        pace.known.then_some((DEBT * all + more) as i64)
+        let estimate = RequestEstimate::of(self.grantees.values());
+        let all_slots_cost = f64::from(self.capacity()) * estimate.cost;
+        let allowance = (rules.window.0 + rules.credit.0) * MILLI;
+        estimate
+            .known
+            .then_some((DEBT_FACTOR * all_slots_cost + allowance) as i64)
     }
 
-    /// Plans anew if something has changed and enough time has passed.
+    /// Replans if anything has changed and enough time has passed.
     pub(crate) fn plan(&mut self, ledger: &Ledger, now: Time) {
-        let old = self.pressed;
+        let was_contended = self.contended;
         self.reclaim(now);
-        self.press(now);
-        // A large pool takes a while to plan, and one slot matters less in it.
-        let pairs = self.lots.len() * self.borrowers.len();
-        if now.since(self.ran) < Span(pairs as u64 * PAIR.0) {
+        self.update_contention(now);
+        // Planning a large pool takes longer, and one slot matters less in it.
+        let pairs = self.owned_slots.len() * self.grantees.len();
+        if now.since(self.last_plan) < Span(pairs as u64 * PLAN_TIME_PER_PAIR.0) {
             return;
         }
-        let interval = if self.pressed { PLAN } else { SPREAD };
-        let due = now.since(self.planned) >= interval;
-        if !self.changed && !due && old == self.pressed {
+        let interval = if self.contended {
+            REVOKE_INTERVAL
+        } else {
+            IDLE_REVOKE_INTERVAL
+        };
+        let due = now.since(self.last_revoke) >= interval;
+        if !self.changed && !due && was_contended == self.contended {
             return;
         }
         self.changed = false;
-        self.ran = now;
-        self.trim();
-        let wants = match self.pressed {
-            true => self.wants_pressed(ledger),
-            false => self.wants_idle(),
+        self.last_plan = now;
+        self.revoke_excess();
+        let targets = match self.contended {
+            true => self.contended_targets(ledger),
+            false => self.uncontended_targets(),
         };
-        self.restore(&wants);
-        if !self.pressed {
-            // Spare slots move now and then; those that work waits for move at once.
+        self.regrant_kept(&targets);
+        if !self.contended {
+            // Slots that queued requests need move at once, spare ones only when a revocation
+            // is due.
             let needs = self.needs();
-            self.take_back(&needs, &needs);
+            self.revoke(&needs, &needs);
         }
         if due {
-            self.planned = now;
-            self.take_back(&wants, &wants);
+            self.last_revoke = now;
+            self.revoke(&targets, &targets);
         }
-        if self.gathers(now) {
+        if self.is_gathering_reports(now) {
             return;
         }
-        if !self.pressed {
-            self.give(&self.needs());
+        if !self.contended {
+            self.grant_free(&self.needs());
         }
-        self.give(&wants);
+        self.grant_free(&targets);
     }
 
-    /// Returns all slots of the pool.
+    /// Returns the number of slots of the pool.
     pub(crate) fn capacity(&self) -> u32 {
-        self.lots.iter().map(Lot::limit).sum()
+        self.owned_slots.iter().map(OwnedSlots::limit).sum()
     }
 
     /// Returns the limit of a replica.
     pub(crate) fn limit(&self, key: ReplicaKey) -> Option<Slots> {
-        Self::at(&self.lots, key).map(|at| Slots(self.lots[at].limit()))
+        Self::index_of(&self.owned_slots, key).map(|at| Slots(self.owned_slots[at].limit()))
     }
 
     /// Returns the limits of all replicas, for the next owner.
     pub(crate) fn limits(&self) -> Limits {
-        self.lots.iter().map(|l| (l.key, l.limit())).collect()
+        self.owned_slots
+            .iter()
+            .map(|l| (l.key, l.limit()))
+            .collect()
     }
 
-    /// Returns what each router holds, as operators read it.
+    /// Returns the slots of each router for operators.
     pub(crate) fn dump(&self) -> Vec<GranteeDump> {
-        self.borrowers
+        self.grantees
             .iter()
-            .map(|(id, b)| GranteeDump {
+            .map(|(id, g)| GranteeDump {
                 router: id.clone(),
-                state: b.state,
-                granted: Slots(b.total()),
-                kept: Slots(b.cells.iter().map(|c| c.kept).sum()),
-                running: Slots(b.running),
-                waiting: b.waits.iter().map(|w| w.queued as usize).sum(),
+                state: g.state,
+                granted: Slots(g.total()),
+                kept: Slots(g.granted_slots.iter().map(|c| c.kept).sum()),
+                running: Slots(g.running),
+                waiting: g.demands.iter().map(|w| w.queued as usize).sum(),
             })
             .collect()
     }
 
-    /// Returns the lends that are due.
-    pub(crate) fn lends(
+    /// Returns the due grants.
+    pub(crate) fn due_grants(
         &mut self,
         me: &RouterId,
         ledger: &Ledger,
         now: Time,
     ) -> Vec<(RouterId, SlotGrant)> {
-        self.bucket.refill(TELLS, BURST, now);
-        let common = Common {
+        self.send_budget
+            .refill(GRANT_BYTES_PER_SEC, GRANT_BURST_BYTES, now);
+        let header = GrantHeader {
             service: self.service,
-            pressed: self.pressed,
+            contended: self.contended,
             capacity: self.capacity(),
-            sharers: self.borrowers.values().filter(|b| b.busy()).count() as u32,
+            sharers: self.grantees.values().filter(|g| g.uses_service()).count() as u32,
         };
         let mut out = Vec::new();
-        for (id, b) in &mut self.borrowers {
-            if let Some(term) = b.puzzled.take() {
-                out.push((id.clone(), common.ask_all(term)));
-            } else if b.heard() && b.state != PeerState::Suspect {
-                let writer = Writer::of(id, b.incarnation);
-                let level = |w: &Wait| ledger.level_without(w.key, writer);
+        for (id, g) in &mut self.grantees {
+            if let Some(term) = g.full_report_term.take() {
+                out.push((id.clone(), header.request_full_report(term)));
+            } else if g.has_reported() && g.state != PeerState::Suspect {
+                let writer = Writer::of(id, g.incarnation);
+                let virtual_time = |w: &WorkspaceDemand| ledger.level_without(w.key, writer);
                 let local = id == me;
-                let open = local || self.bucket.open() && b.rested(now);
-                let mut lend = b.lend_due(&common, &self.lots, level, open, now);
-                if let Some(l) = lend.as_mut().filter(|_| self.heir.as_ref() == Some(id)) {
-                    l.limits = b.limits_due(&self.lots, now);
+                let may_send = local || self.send_budget.has_bytes() && g.can_send(now);
+                let mut grant =
+                    g.due_grant(&header, &self.owned_slots, virtual_time, may_send, now);
+                if let Some(l) = grant
+                    .as_mut()
+                    .filter(|_| self.successor.as_ref() == Some(id))
+                {
+                    l.limits = g.due_limits(&self.owned_slots, now);
                 }
                 if !local {
-                    self.bucket.spend(lend.as_ref().map_or(0, SlotGrant::size));
+                    self.send_budget
+                        .spend(grant.as_ref().map_or(0, SlotGrant::size));
                 }
-                out.extend(lend.map(|l| (id.clone(), l)));
+                out.extend(grant.map(|l| (id.clone(), l)));
             }
         }
         out
--- a/crates/policy/src/pool/rebalance.rs
+++ b/crates/policy/src/pool/rebalance.rs
@@ -1,169 +1,183 @@
-//! Which slots move between routers.
+//! Redistribution of slots between routers.
 
 use {
     super::{
-        targets::Wants,
-        Borrower,
+        targets::SlotTargets,
+        Grantee,
         Pool, //
     },
     crate::RouterId,
 };
 
-/// Where more queues wait than there are slots, a plan moves at most one of so many slots: the
-/// levels cross all the time, and each slot is idle on its way.
-const MOVES: u32 = 20;
+/// If there are more queues than slots, one plan moves at most 1/20 of the slots: virtual times
+/// cross all the time, and a slot is idle while it moves.
+const MOVE_DIVISOR: u32 = 20;
 
 impl Pool {
-    /// Returns the free slots of each replica, below zero where too many are out.
-    fn free(&self) -> Vec<i64> {
-        let unheard = self.borrowers.values().filter(|b| self.unheard(b)).count();
-        let known = self.borrowers.len().max(1);
+    /// Returns the free slots of each replica; negative where too many are granted.
+    fn free_slots(&self) -> Vec<i64> {
+        let unreported = self
+            .grantees
+            .values()
+            .filter(|g| self.may_hold_unreported(g))
+            .count();
+        let known = self.grantees.len().max(1);
         let mut free: Vec<i64> = self
-            .lots
+            .owned_slots
             .iter()
             .map(|l| l.limit() as usize)
-            .map(|limit| (limit - limit * unheard / known) as i64)
+            .map(|limit| (limit - limit * unreported / known) as i64)
             .collect();
-        for b in self.borrowers.values() {
-            for (n, cell) in free.iter_mut().zip(&b.cells) {
-                *n -= i64::from(cell.holds());
+        for g in self.grantees.values() {
+            for (n, entry) in free.iter_mut().zip(&g.granted_slots) {
+                *n -= i64::from(entry.reserved());
             }
         }
         free
     }
 
-    /// Takes back what is lent above a replica's limit.
-    pub(super) fn trim(&mut self) {
-        let mut lent: Vec<u32> = vec![0; self.lots.len()];
-        for b in self.borrowers.values() {
-            for (n, cell) in lent.iter_mut().zip(&b.cells) {
-                *n += cell.lent;
+    /// Revokes slots granted above a replica's limit.
+    pub(super) fn revoke_excess(&mut self) {
+        let mut granted: Vec<u32> = vec![0; self.owned_slots.len()];
+        for g in self.grantees.values() {
+            for (n, entry) in granted.iter_mut().zip(&g.granted_slots) {
+                *n += entry.granted;
             }
         }
-        for (at, lot) in self.lots.iter().enumerate() {
-            for _ in lot.limit()..lent[at] {
-                let most = self.borrowers.values_mut().max_by_key(|b| b.cells[at].lent);
-                if let Some(b) = most {
-                    b.lower(at);
+        for (at, owned) in self.owned_slots.iter().enumerate() {
+            for _ in owned.limit()..granted[at] {
+                let most = self
+                    .grantees
+                    .values_mut()
+                    .max_by_key(|g| g.granted_slots[at].granted);
+                if let Some(g) = most {
+                    g.revoke_one(at);
                 }
             }
         }
     }
 
-    /// Lends again what a router still uses beyond what it was lent, if it should have it.
-    pub(super) fn restore(&mut self, wants: &Wants) {
-        for (id, b) in &mut self.borrowers {
-            let want = wants.get(id).copied().unwrap_or(0);
-            for at in 0..b.cells.len() {
-                while b.total() < want && b.cells[at].lent < b.cells[at].kept {
-                    b.raise(at);
+    /// Grants a router the slots that it still keeps beyond its grant, up to its target.
+    pub(super) fn regrant_kept(&mut self, targets: &SlotTargets) {
+        for (id, g) in &mut self.grantees {
+            let target = targets.get(id).copied().unwrap_or(0);
+            for at in 0..g.granted_slots.len() {
+                while g.total() < target && g.granted_slots[at].granted < g.granted_slots[at].kept {
+                    g.grant_one(at);
                 }
             }
         }
     }
 
-    /// Returns how many slots each router needs for what runs and waits there.
-    pub(super) fn needs(&self) -> Wants {
-        let takers = self.borrowers.iter().filter(|(_, b)| b.takes());
-        takers
-            .map(|(id, b)| (id.clone(), b.running + b.waiting()))
+    /// Returns the number of slots that each router needs for its running and queued requests.
+    pub(super) fn needs(&self) -> SlotTargets {
+        let eligible = self.grantees.iter().filter(|(_, g)| g.can_be_granted());
+        eligible
+            .map(|(id, g)| (id.clone(), g.running + g.waiting()))
             .collect()
     }
 
-    /// Asks slots back from routers that have more than wanted, where others lack what
-    /// they need.
-    pub(super) fn take_back(&mut self, wants: &Wants, needs: &Wants) {
+    /// Revokes slots from routers above their target while others lack slots that they need.
+    pub(super) fn revoke(&mut self, targets: &SlotTargets, needs: &SlotTargets) {
         if self
-            .borrowers
+            .grantees
             .iter()
-            .all(|(id, b)| lacks(needs, id, b) == 0)
+            .all(|(id, g)| shortfall(needs, id, g) == 0)
         {
             return;
         }
-        let free = self.free();
-        // Slots that were asked back and are not yet free count as on their way.
-        let coming: i64 = self
-            .borrowers
+        let free = self.free_slots();
+        // Revoked slots that are still in use are on their way back.
+        let returning: i64 = self
+            .grantees
             .values()
-            .map(|b| i64::from(b.held()) - i64::from(b.total()))
+            .map(|g| i64::from(g.held()) - i64::from(g.total()))
             .sum();
-        let mut lack = -coming - free.iter().map(|n| (*n).max(0)).sum::<i64>();
-        let mut stuck = Vec::new();
-        for (id, b) in &self.borrowers {
-            let few = i64::from(lacks(needs, id, b));
-            if b.helped(&free) {
-                lack += few;
+        let mut missing = -returning - free.iter().map(|n| (*n).max(0)).sum::<i64>();
+        let mut blocked = Vec::new();
+        for (id, g) in &self.grantees {
+            let lacking = i64::from(shortfall(needs, id, g));
+            if g.can_use_free(&free) {
+                missing += lacking;
             } else {
-                stuck.push((few - coming, b.shuns()));
+                blocked.push((lacking - returning, g.avoided_replicas()));
             }
         }
-        let queues: usize = self.borrowers.values().map(|b| b.waits.len()).sum();
-        if self.pressed && queues as u32 > self.capacity() {
-            lack = lack.min(i64::from(self.capacity() / MOVES).max(1));
+        let queues: usize = self.grantees.values().map(|g| g.demands.len()).sum();
+        if self.contended && queues as u32 > self.capacity() {
+            missing = missing.min(i64::from(self.capacity() / MOVE_DIVISOR).max(1));
         }
-        self.lower_some(wants, lack, &[]);
-        // Free slots that a router shuns do not help it, so others give it of theirs.
-        for (few, shuns) in stuck {
-            self.lower_some(wants, few, &shuns);
+        self.revoke_from(targets, missing, &[]);
+        // Free slots on replicas that a router avoids don't help it; take others for it.
+        for (lacking, avoided) in blocked {
+            self.revoke_from(targets, lacking, &avoided);
         }
     }
 
-    /// Asks back so many slots, but of these replicas, from those with most to spare.
-    fn lower_some(&mut self, wants: &Wants, many: i64, but: &[usize]) {
-        for _ in 0..many.max(0) {
-            let gives = |b: &Borrower| {
-                let mut cells = b.cells.iter().enumerate();
-                cells.any(|(at, c)| c.lent > 0 && !but.contains(&at))
+    /// Revokes `count` slots, on other replicas than `except`, from the routers furthest above
+    /// their target.
+    fn revoke_from(&mut self, targets: &SlotTargets, count: i64, except: &[usize]) {
+        for _ in 0..count.max(0) {
+            let can_give = |g: &Grantee| {
+                let mut entries = g.granted_slots.iter().enumerate();
+                entries.any(|(at, c)| c.granted > 0 && !except.contains(&at))
             };
             let most = self
-                .borrowers
+                .grantees
                 .iter_mut()
-                .filter(|(id, b)| b.total() > wants.get(*id).copied().unwrap_or(0) && gives(b))
-                .max_by_key(|(id, b)| b.total() - wants.get(*id).copied().unwrap_or(0));
-            let Some((_, b)) = most else { return };
-            let lots = &self.lots;
-            let lent = (0..lots.len()).filter(|at| b.cells[*at].lent > 0 && !but.contains(at));
-            let far = lent.max_by_key(|at| (lots[*at].zone != b.zone, b.cells[*at].lent));
-            let Some(at) = far else { return };
-            b.lower(at);
+                .filter(|(id, g)| g.total() > targets.get(*id).copied().unwrap_or(0) && can_give(g))
+                .max_by_key(|(id, g)| g.total() - targets.get(*id).copied().unwrap_or(0));
+            let Some((_, g)) = most else { return };
+            let owned_slots = &self.owned_slots;
+            let granted = (0..owned_slots.len())
+                .filter(|at| g.granted_slots[*at].granted > 0 && !except.contains(at));
+            let remote = granted.max_by_key(|at| {
+                (
+                    owned_slots[*at].zone != g.zone,
+                    g.granted_slots[*at].granted,
+                )
+            });
+            let Some(at) = remote else { return };
+            g.revoke_one(at);
         }
     }
 
-    /// Lends free slots to the routers that lack most.
-    pub(super) fn give(&mut self, wants: &Wants) {
+    /// Grants free slots to the routers furthest below their target.
+    pub(super) fn grant_free(&mut self, targets: &SlotTargets) {
         if self
-            .borrowers
+            .grantees
             .iter()
-            .all(|(id, b)| lacks(wants, id, b) == 0)
+            .all(|(id, g)| shortfall(targets, id, g) == 0)
         {
             return;
         }
-        let mut free = self.free();
-        let mut room: i64 = free.iter().map(|n| (*n).max(0)).sum();
-        // What the unheard hold is only guessed, so it counts for the whole pool as well:
-        // they may hold more of one replica and less of another.
-        if self.borrowers.values().any(|b| self.unheard(b)) {
-            room = free.iter().sum();
+        let mut free = self.free_slots();
+        let mut available: i64 = free.iter().map(|n| (*n).max(0)).sum();
+        // The slots of routers without a report are estimates. Limit the total as well, as they may
+        // hold more than estimated on one replica and less on another.
+        if self.grantees.values().any(|g| self.may_hold_unreported(g)) {
+            available = free.iter().sum();
         }
-        for _ in 0..room.max(0) {
+        for _ in 0..available.max(0) {
             let lacking = self
-                .borrowers
+                .grantees
                 .iter_mut()
-                .filter(|(id, b)| lacks(wants, id, b) > 0 && b.helped(&free));
-            let most = lacking.max_by_key(|(id, b)| lacks(wants, id, b));
-            let Some((_, b)) = most else { return };
-            let lots = &self.lots;
-            let open = (0..lots.len()).filter(|at| free[*at] > 0 && !b.cells[*at].shunned);
-            let near = open.max_by_key(|at| (lots[*at].zone == b.zone, free[*at]));
-            let Some(at) = near else { return };
-            b.raise(at);
+                .filter(|(id, g)| shortfall(targets, id, g) > 0 && g.can_use_free(&free));
+            let most = lacking.max_by_key(|(id, g)| shortfall(targets, id, g));
+            let Some((_, g)) = most else { return };
+            let owned_slots = &self.owned_slots;
+            let open =
+                (0..owned_slots.len()).filter(|at| free[*at] > 0 && !g.granted_slots[*at].unusable);
+            let closest = open.max_by_key(|at| (owned_slots[*at].zone == g.zone, free[*at]));
+            let Some(at) = closest else { return };
+            g.grant_one(at);
             free[at] -= 1;
         }
     }
 }
 
-/// Returns how many slots a router has too few.
-fn lacks(wants: &Wants, id: &RouterId, b: &Borrower) -> u32 {
-    let want = wants.get(id).copied().unwrap_or(0);
-    want.saturating_sub(b.total())
+/// Returns the number of slots that a router is below its target.
+fn shortfall(targets: &SlotTargets, id: &RouterId, g: &Grantee) -> u32 {
+    let target = targets.get(id).copied().unwrap_or(0);
+    target.saturating_sub(g.total())
 }
--- a/crates/policy/src/pool/targets.rs
+++ b/crates/policy/src/pool/targets.rs
@@ -1,11 +1,11 @@
-//! How many slots each router should have.
+//! Target number of slots of each router.
 
 use {
     super::{
-        fill,
-        Pace,
+        water_fill,
+        Claimant,
         Pool,
-        Row, //
+        RequestEstimate, //
     },
     crate::{
         shares::{
@@ -17,110 +17,118 @@
     std::collections::BTreeMap,
 };
 
-/// Part of the idle slots that stays with the owner while nothing waits.
-const RESERVE: f64 = 0.1;
-/// Part of the spare slots that is spread evenly; the rest goes by use.
-const EVEN: f64 = 0.3;
-/// Part of the spare slots by which a router may have more or less than its part.
-const NEAR: f64 = 0.6;
-/// A router keeps the slot that rounding gives one of several, unless another's claim is
-/// larger by this part of a slot.
-const STICKY: f64 = 0.6;
+/// Part of the idle slots that the owner keeps while the pool is not contended.
+const OWNER_RESERVE: f64 = 0.1;
+/// Part of the spare slots that is split evenly; the rest is split by use.
+const EVEN_PART: f64 = 0.3;
+/// A router may be off its target by this part of its spare slots.
+const TARGET_TOLERANCE: f64 = 0.6;
+/// A router keeps a slot that it has by rounding, unless another's remainder is larger by this
+/// part of a slot.
+const ROUNDING_HYSTERESIS: f64 = 0.6;
 
-/// Slots that each router should have.
-pub(crate) type Wants = BTreeMap<RouterId, u32>;
+/// Target number of slots by router.
+pub(crate) type SlotTargets = BTreeMap<RouterId, u32>;
 
 impl Pool {
-    /// Returns how many slots each router should have while work waits.
-    pub(super) fn wants_pressed(&self, ledger: &Ledger) -> Wants {
-        let mut rows: BTreeMap<Key, f64> = BTreeMap::new();
-        let mut passing = 0.0;
-        for b in self.borrowers.values() {
-            passing += f64::from(b.passing());
-            for w in b.waits.iter().filter(|_| b.takes()) {
-                *rows.entry(w.key).or_default() += f64::from(w.queued + w.running);
+    /// Returns the targets while the pool is contended.
+    pub(super) fn contended_targets(&self, ledger: &Ledger) -> SlotTargets {
+        let mut by_workspace: BTreeMap<Key, f64> = BTreeMap::new();
+        let mut transient = 0.0;
+        for g in self.grantees.values() {
+            transient += f64::from(g.unqueued_running());
+            for w in g.demands.iter().filter(|_| g.can_be_granted()) {
+                *by_workspace.entry(w.key).or_default() += f64::from(w.queued + w.running);
             }
         }
-        let list: Vec<Row> = rows
+        let claimants: Vec<Claimant> = by_workspace
             .iter()
-            .map(|(key, demand)| Row {
-                level: ledger.level(*key) as f64,
+            .map(|(key, demand)| Claimant {
+                virtual_time: ledger.level(*key) as f64,
                 share: ledger.share(*key).get(),
                 demand: *demand,
             })
             .collect();
-        let pace = Pace::of(self.borrowers.values());
-        let slots = (f64::from(self.capacity()) - passing).max(0.0);
-        let split = fill(slots, pace.step(), &list);
-        let part: BTreeMap<Key, f64> = rows
+        let estimate = RequestEstimate::of(self.grantees.values());
+        let slots = (f64::from(self.capacity()) - transient).max(0.0);
+        let split = water_fill(slots, estimate.step(), &claimants);
+        let fraction: BTreeMap<Key, f64> = by_workspace
             .iter()
             .zip(split)
             .map(|((key, demand), slots)| (*key, slots / demand))
             .collect();
         let exact: Vec<(&RouterId, f64, u32)> = self
-            .borrowers
+            .grantees
             .iter()
-            .filter(|(_, b)| b.takes())
-            .map(|(id, b)| {
-                let due: f64 = b
-                    .waits
+            .filter(|(_, g)| g.can_be_granted())
+            .map(|(id, g)| {
+                let target: f64 = g
+                    .demands
                     .iter()
-                    .map(|w| f64::from(w.queued + w.running) * part[&w.key])
+                    .map(|w| f64::from(w.queued + w.running) * fraction[&w.key])
                     .sum();
-                // Where nothing waits, what runs needs no slot after it.
-                let passing = if b.waits.is_empty() { 0 } else { b.passing() };
-                (id, due + f64::from(passing), b.total())
+                // Without a queue, a running request needs no slot after it ends.
+                let transient = if g.demands.is_empty() {
+                    0
+                } else {
+                    g.unqueued_running()
+                };
+                (id, target + f64::from(transient), g.total())
             })
             .collect();
-        round(exact, self.capacity())
+        round_targets(exact, self.capacity())
     }
 
-    /// Returns how many slots each router should have while there are enough for all.
+    /// Returns the targets while capacity suffices for all.
     ///
-    /// That is the most that it used lately and some spare ones, so that most requests start
-    /// without a message.
-    pub(super) fn wants_idle(&self) -> Wants {
+    /// A router gets its recent peak and some spare slots, so that most requests start without a
+    /// message.
+    pub(super) fn uncontended_targets(&self) -> SlotTargets {
         let needs = self.needs();
-        let peak = |id: &RouterId| self.borrowers[id].peak;
+        let peak = |id: &RouterId| self.grantees[id].peak_demand;
         let peaks: f64 = needs.keys().map(peak).sum();
-        let idle = (f64::from(self.capacity()) - peaks).max(0.0) * (1.0 - RESERVE);
+        let idle = (f64::from(self.capacity()) - peaks).max(0.0) * (1.0 - OWNER_RESERVE);
         let n = needs.len().max(1) as f64;
-        let mut wants = Wants::new();
+        let mut targets = SlotTargets::new();
         for (id, need) in needs {
             let used = if peaks > 0.0 {
                 peak(&id) / peaks
             } else {
                 1.0 / n
             };
-            let spare = idle * (EVEN / n + (1.0 - EVEN) * used);
-            let want = peak(&id) + spare;
-            // Spare slots are not worth a message for every small change.
-            let now = self.borrowers[&id].total();
-            let near = (f64::from(now) - want).abs() <= spare * NEAR;
-            let want = if near { now } else { want as u32 };
-            wants.insert(id, want.max(need));
+            let spare = idle * (EVEN_PART / n + (1.0 - EVEN_PART) * used);
+            let target = peak(&id) + spare;
+            // A small change of the spare slots is not worth a message.
+            let current = self.grantees[&id].total();
+            let near = (f64::from(current) - target).abs() <= spare * TARGET_TOLERANCE;
+            let target = if near { current } else { target as u32 };
+            targets.insert(id, target.max(need));
         }
-        wants
+        targets
     }
 }
 
-/// Rounds targets to whole slots so that few of them move.
-fn round(exact: Vec<(&RouterId, f64, u32)>, capacity: u32) -> Wants {
+/// Rounds targets to integers so that few slots move.
+fn round_targets(exact: Vec<(&RouterId, f64, u32)>, capacity: u32) -> SlotTargets {
     let total: f64 = exact.iter().map(|e| e.1).sum();
-    let mut out: Wants = BTreeMap::new();
-    let mut rest: Vec<(f64, &RouterId)> = Vec::new();
-    for (id, due, now) in exact {
-        let whole = due.floor();
-        let has = if f64::from(now) > whole { STICKY } else { 0.0 };
+    let mut out: SlotTargets = BTreeMap::new();
+    let mut remainders: Vec<(f64, &RouterId)> = Vec::new();
+    for (id, target, current) in exact {
+        let whole = target.floor();
+        let bonus = if f64::from(current) > whole {
+            ROUNDING_HYSTERESIS
+        } else {
+            0.0
+        };
         out.insert(id.clone(), whole as u32);
-        if due > whole {
-            rest.push((due - whole + has, id));
+        if target > whole {
+            remainders.push((target - whole + bonus, id));
         }
     }
-    let given: u32 = out.values().sum();
-    let left = capacity.min(total.round() as u32).saturating_sub(given);
-    rest.sort_by(|a, b| b.0.total_cmp(&a.0));
-    for (_, id) in rest.into_iter().take(left as usize) {
+    let assigned: u32 = out.values().sum();
+    let left = capacity.min(total.round() as u32).saturating_sub(assigned);
+    remainders.sort_by(|a, b| b.0.total_cmp(&a.0));
+    for (_, id) in remainders.into_iter().take(left as usize) {
         *out.entry(id.clone()).or_default() += 1;
     }
     out
--- a/crates/policy/src/pool/water_fill.rs
+++ b/crates/policy/src/pool/water_fill.rs
@@ -1,40 +1,45 @@
-//! Splitting slots among workspaces by water-filling.
+//! Splits slots among workspaces by water-filling.
 
-/// Rounds of the search for the level; each halves its error.
-const ROUNDS: usize = 48;
+/// Steps of the binary search for the water level; each halves its error.
+const SEARCH_STEPS: usize = 48;
 
-/// What one workspace asks for.
+/// A workspace that claims slots.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Row {
-    /// Normalised service it has received.
-    pub(crate) level: f64,
+pub(crate) struct Claimant {
+    /// Normalised service that it has received.
+    pub(crate) virtual_time: f64,
     pub(crate) share: f64,
-    /// Most slots that it can use.
+    /// Maximum number of slots that it can use.
     pub(crate) demand: f64,
 }
 
-/// Splits slots so that the levels of all become as even as can be.
+/// Splits slots so that virtual times become as even as possible.
 ///
-/// A slot adds `step` units of service over the horizon of the plan, divided by the
-/// share. The result is the one that raises the lowest levels first, like water:
-/// `slots = share * (water - level) / step`, between nothing and the demand.
-pub(crate) fn fill(slots: f64, step: f64, rows: &[Row]) -> Vec<f64> {
-    let total: f64 = rows.iter().map(|r| r.demand).sum();
+/// A slot adds `step` units of service, divided by the share, within the horizon of the plan.
+/// The lowest virtual times rise first, up to a common water level:
+/// `slots = share * (water_level - virtual_time) / step`, from 0 to the demand.
+pub(crate) fn water_fill(slots: f64, step: f64, claimants: &[Claimant]) -> Vec<f64> {
+    let total: f64 = claimants.iter().map(|c| c.demand).sum();
     if total <= slots {
-        return rows.iter().map(|r| r.demand).collect();
+        return claimants.iter().map(|c| c.demand).collect();
     }
-    let at = |r: &Row, water: f64| (r.share * (water - r.level) / step).clamp(0.0, r.demand);
-    let full = |r: &Row| r.level + r.demand * step / r.share;
-    let mut low = rows.iter().map(|r| r.level).fold(f64::INFINITY, f64::min);
-    let mut high = rows.iter().map(full).fold(low, f64::max);
-    for _ in 0..ROUNDS {
+    let slots_at = |c: &Claimant, water_level: f64| {
+        (c.share * (water_level - c.virtual_time) / step).clamp(0.0, c.demand)
+    };
+    let saturated_at = |c: &Claimant| c.virtual_time + c.demand * step / c.share;
+    let mut low = claimants
+        .iter()
+        .map(|c| c.virtual_time)
+        .fold(f64::INFINITY, f64::min);
+    let mut high = claimants.iter().map(saturated_at).fold(low, f64::max);
+    for _ in 0..SEARCH_STEPS {
         let mid = (low + high) / 2.0;
-        let used: f64 = rows.iter().map(|r| at(r, mid)).sum();
+        let used: f64 = claimants.iter().map(|c| slots_at(c, mid)).sum();
         if used > slots {
             high = mid;
         } else {
             low = mid;
         }
     }
-    rows.iter().map(|r| at(r, low)).collect()
+    claimants.iter().map(|c| slots_at(c, low)).collect()
 }
--- a/crates/policy/src/service/admission.rs
+++ b/crates/policy/src/service/admission.rs
@@ -1,13 +1,13 @@
-//! Which requests are refused, and when their callers should come back.
+//! Admission control: which requests are rejected, and when their callers may retry.
 
 use {
     super::{
         state::{
-            Lives,
-            Refused, //
+            ActiveRequests,
+            Rejection, //
         },
-        Entry,
-        Live, //
+        ActiveRequest, //
+        ServiceState,
     },
     crate::{
         Job,
@@ -18,37 +18,40 @@
     },
 };
 
-/// Shortest and longest time that a refused caller is told to wait.
-const AFTER: (Span, Span) = (Span::millis(50), Span::secs(60));
-/// Time to come back after when nothing is known of the queue.
-const AFTER_UNKNOWN: Span = Span::secs(1);
+/// Minimum and maximum retry delay sent to a rejected caller.
+const RETRY_AFTER_RANGE: (Span, Span) = (Span::millis(50), Span::secs(60));
+/// Retry delay if the drain rate of the queue is unknown.
+const RETRY_AFTER_DEFAULT: Span = Span::secs(1);
 
-impl Entry {
-    /// Returns why a request cannot be taken, and when to come back.
-    pub(super) fn objection(
+impl ServiceState {
+    /// Returns why a request can't be accepted, and the retry delay.
+    pub(super) fn rejection(
         &mut self,
-        live: &Live,
+        request: &ActiveRequest,
         id: JobId,
         now: Time,
     ) -> Option<(Refusal, Span)> {
-        if !self.seats.any_open() {
-            return Some((Refusal::NoEndpoint, AFTER_UNKNOWN));
+        if !self.replica_slots.any_available() {
+            return Some((Refusal::NoEndpoint, RETRY_AFTER_DEFAULT));
         }
-        let left = live.job.deadline.since(now);
-        let expect = self.expect(&live.job);
-        let Some(queue) = self.queues.get_mut(&live.key) else {
-            return (left <= expect).then_some((Refusal::Late, AFTER_UNKNOWN));
+        let left = request.job.deadline.since(now);
+        let expect = self.run_estimate(&request.job);
+        let Some(queue) = self.queues.get_mut(&request.key) else {
+            return (left <= expect).then_some((Refusal::Late, RETRY_AFTER_DEFAULT));
         };
-        queue.pass(now);
-        let most = self.ledger.queue_of(live.key).unwrap_or(self.rules.queue);
+        queue.update_drain(now);
+        let most = self
+            .ledger
+            .queue_of(request.key)
+            .unwrap_or(self.rules.queue);
         if queue.len() >= most {
-            let after = queue.drain.wait(queue.len().div_ceil(2));
-            return Some((Refusal::QueueFull, clamp(after)));
+            let delay = queue.drain.time_to_drain(queue.len().div_ceil(2));
+            return Some((Refusal::QueueFull, clamp(delay)));
         }
-        let ahead = queue.before(&(live.due, live.number, id));
+        let ahead = queue.ahead_of(&(request.due, request.number, id));
         let wait = match ahead {
             0 => Span::ZERO,
-            n => queue.drain.wait(n).unwrap_or(Span::ZERO),
+            n => queue.drain.time_to_drain(n).unwrap_or(Span::ZERO),
         };
         let need = wait + expect;
         if need < left {
@@ -57,29 +60,29 @@
         Some((Refusal::Late, clamp(Some(Span(need.0 - left.0)))))
     }
 
-    /// Returns how long a request is thought to run.
-    fn expect(&self, job: &Job) -> Span {
+    /// Returns the estimated run time of a request.
+    fn run_estimate(&self, job: &Job) -> Span {
         job.expected_run
     }
 
-    /// Returns the requests that can no longer be answered in time.
-    pub(crate) fn overdue(&mut self, lives: &Lives, now: Time) -> Vec<Refused> {
+    /// Returns the queued requests that can no longer be answered in time.
+    pub(crate) fn overdue(&mut self, requests: &ActiveRequests, now: Time) -> Vec<Rejection> {
         let mut out = Vec::new();
         for queue in self.queues.values_mut() {
-            queue.pass(now);
-            if now < queue.doomed {
+            queue.update_drain(now);
+            if now < queue.next_too_late {
                 continue;
             }
-            let after = clamp(queue.drain.wait(queue.len()));
-            queue.doomed = Time(u64::MAX);
-            for (_, _, id) in &queue.places {
-                let job = &lives[*id].job;
+            let delay = clamp(queue.drain.time_to_drain(queue.len()));
+            queue.next_too_late = Time(u64::MAX);
+            for (_, _, id) in &queue.positions {
+                let job = &requests[*id].job;
                 if job.deadline <= now {
-                    out.push((*id, Refusal::Expired, after));
-                } else if doomed(job) <= now {
-                    out.push((*id, Refusal::Late, after));
+                    out.push((*id, Refusal::Expired, delay));
+                } else if latest_start(job) <= now {
+                    out.push((*id, Refusal::Late, delay));
                 } else {
-                    queue.doomed = queue.doomed.min(doomed(job));
+                    queue.next_too_late = queue.next_too_late.min(latest_start(job));
                 }
             }
         }
@@ -87,11 +90,13 @@
     }
 }
 
-/// Returns when it is too late to start a request.
-pub(super) fn doomed(job: &Job) -> Time {
+/// Returns the latest time at which a request may start.
+pub(super) fn latest_start(job: &Job) -> Time {
     job.deadline - job.expected_run
 }
 
-fn clamp(after: Option<Span>) -> Span {
-    after.unwrap_or(AFTER_UNKNOWN).clamp(AFTER.0, AFTER.1)
+fn clamp(delay: Option<Span>) -> Span {
+    delay
+        .unwrap_or(RETRY_AFTER_DEFAULT)
+        .clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1)
 }
--- a/crates/policy/src/service/mod.rs
+++ b/crates/policy/src/service/mod.rs
@@ -1,4 +1,4 @@
-//! The queues of one service at this router, and where their requests start.
+//! The queues of one service at this router, and the placement of their requests.
 
 mod admission;
 mod drain;
@@ -16,12 +16,12 @@
     queue::Queue,
     replicas::{
         ReplicaKey,
-        Seat,
-        Seats, //
+        ReplicaSlots,
+        ServiceReplicas, //
     },
     request::{
-        Live,
+        ActiveRequest,
         Run, //
     },
-    state::Entry,
+    state::ServiceState,
 };
--- a/crates/policy/src/service/pick.rs
+++ b/crates/policy/src/service/pick.rs
@@ -1,12 +1,12 @@
-//! Which queued request starts next, and where.
+//! Selection of the next request to start, and of its replica.
 
 use {
     super::{
-        state::Lives,
-        Entry,
+        state::ActiveRequests,
         Queue,
         ReplicaKey,
-        Seat, //
+        ReplicaSlots, //
+        ServiceState,
     },
     crate::{
         shares::{
@@ -21,59 +21,64 @@
     },
 };
 
-/// How many requests at the head are tried when a retry must avoid a replica.
-const HEAD: usize = 8;
+/// Number of requests at the head of a queue that are considered, as a retry may avoid the
+/// only replica with a free slot.
+const HEAD_LIMIT: usize = 8;
 
-impl Entry {
-    /// Chooses the next request to start and its replica.
-    pub(crate) fn next(
+impl ServiceState {
+    /// Selects the next request to start and its replica.
+    pub(crate) fn next_request(
         &self,
         mode: Mode,
-        lives: &Lives,
+        requests: &ActiveRequests,
         zone: &Zone,
         now: Time,
     ) -> Option<(JobId, ReplicaId)> {
-        if self.seats.free(now) == 0 {
+        if self.replica_slots.free(now) == 0 {
             return None;
         }
         let keys = match mode {
             Mode::Static => self.by_arrival(),
-            _ => self.by_level(lives),
+            _ => self.by_virtual_time(requests),
         };
         keys.iter()
-            .find_map(|key| self.placeable(&self.queues[key], lives, zone, now))
+            .find_map(|key| self.first_placeable(&self.queues[key], requests, zone, now))
     }
 
-    /// Returns the first request of a queue that has a replica to go to.
-    fn placeable(
+    /// Returns the first request of a queue for which a replica has a free slot.
+    fn first_placeable(
         &self,
         queue: &Queue,
-        lives: &Lives,
+        requests: &ActiveRequests,
         zone: &Zone,
         now: Time,
     ) -> Option<(JobId, ReplicaId)> {
-        queue.places.iter().take(HEAD).find_map(|(_, _, id)| {
-            let avoid = lives[*id].avoid.as_ref();
-            Some((*id, self.seats.choose(zone, avoid, now)?))
-        })
+        queue
+            .positions
+            .iter()
+            .take(HEAD_LIMIT)
+            .find_map(|(_, _, id)| {
+                let avoid = requests[*id].avoid.as_ref();
+                Some((*id, self.replica_slots.choose(zone, avoid, now)?))
+            })
     }
 
-    /// Returns the backlogged workspaces, first come first served.
+    /// Returns the backlogged workspaces, first come, first served.
     fn by_arrival(&self) -> Vec<Key> {
         let mut heads: Vec<_> = self
             .queues
             .iter()
-            .filter_map(|(k, q)| Some((q.places.first()?, *k)))
+            .filter_map(|(k, q)| Some((q.positions.first()?, *k)))
             .collect();
         heads.sort();
         heads.into_iter().map(|h| h.1).collect()
     }
 
-    /// Returns the backlogged workspaces, the one that is due first.
+    /// Returns the backlogged workspaces in the order in which they are served.
     ///
-    /// That is the one with the least normalised service; but within the window of
-    /// it, the one with the most urgent head.
-    fn by_level(&self, lives: &Lives) -> Vec<Key> {
+    /// The least virtual time comes first, but within the rules' window of it the most urgent
+    /// request at the head of a queue.
+    fn by_virtual_time(&self, requests: &ActiveRequests) -> Vec<Key> {
         let window = (self.rules.window.0 * MILLI) as i64;
         let mut heads: Vec<_> = self
             .queues
@@ -81,31 +86,31 @@
             .filter_map(|(k, q)| {
                 Some((
                     self.ledger.level(*k),
-                    lives[q.places.first()?.2].job.urgency,
+                    requests[q.positions.first()?.2].job.urgency,
                     *k,
                 ))
             })
             .collect();
         let least = heads.iter().map(|h| h.0).min().unwrap_or(0);
-        heads.sort_by_key(|&(level, urgency, key)| {
-            let within = level <= least + window;
+        heads.sort_by_key(|&(virtual_time, urgency, key)| {
+            let within = virtual_time <= least + window;
             let rank = if within { 9 - urgency.min(9) } else { 10 };
-            (rank, level, key)
+            (rank, virtual_time, key)
         });
         heads.into_iter().map(|h| h.2).collect()
     }
 
-    /// Returns the replicas that can take nothing of what waits.
-    pub(crate) fn shunned(&self, lives: &Lives, now: Time) -> Vec<ReplicaKey> {
-        let failing = |s: &Seat| !s.health.admits_any(s.running, now);
-        if self.retries == 0 && !self.seats.all.values().any(failing) {
+    /// Returns the replicas that can serve none of the queued requests.
+    pub(crate) fn avoided_replicas(&self, requests: &ActiveRequests, now: Time) -> Vec<ReplicaKey> {
+        let failing = |s: &ReplicaSlots| !s.health.admits_any(s.running, now);
+        if self.queued_retries == 0 && !self.replica_slots.all.values().any(failing) {
             return Vec::new();
         }
         let heads = self
             .queues
             .values()
-            .flat_map(|q| q.places.iter().take(HEAD));
-        let avoids: Vec<_> = heads.map(|h| lives[h.2].avoid.as_ref()).collect();
-        self.seats.shunned(&avoids, now)
+            .flat_map(|q| q.positions.iter().take(HEAD_LIMIT));
+        let avoids: Vec<_> = heads.map(|h| requests[h.2].avoid.as_ref()).collect();
+        self.replica_slots.avoided_replicas(&avoids, now)
     }
 }
--- a/crates/policy/src/service/queue.rs
+++ b/crates/policy/src/service/queue.rs
@@ -1,7 +1,7 @@
 //! The queue of one workspace.
 
 use {
-    super::drain::Drain,
+    super::drain::DrainRate,
     crate::{
         JobId,
         Time,
@@ -10,60 +10,60 @@
     std::collections::BTreeSet,
 };
 
-/// A queued request, ordered by due time, then by number.
-pub(crate) type Place = (Time, u64, JobId);
+/// Position of a queued request, ordered by due time, then by sequence number.
+pub(crate) type QueuePosition = (Time, u64, JobId);
 
 /// The queue of one workspace at one service.
 #[derive(Debug)]
 pub(crate) struct Queue {
     pub(crate) workspace: WorkspaceId,
-    pub(crate) places: BTreeSet<Place>,
-    pub(crate) drain: Drain,
-    /// Requests that run from here.
+    pub(crate) positions: BTreeSet<QueuePosition>,
+    pub(crate) drain: DrainRate,
+    /// Number of its requests that run from here.
     pub(crate) running: u32,
-    /// What was charged for them, in thousandths of a unit.
+    /// Charge of the running requests, in thousandths of a unit.
     pub(crate) charged: i64,
     /// When it was last not empty.
-    pub(crate) waited: Option<Time>,
-    /// When it is too late to start the first of its requests, or before.
-    pub(crate) doomed: Time,
-    /// When it was last used at all.
-    pub(crate) used: Time,
+    pub(crate) last_backlogged: Option<Time>,
+    /// Lower bound of the time at which one of its requests becomes too late to start.
+    pub(crate) next_too_late: Time,
+    /// When a request of the workspace last arrived, started or ended.
+    pub(crate) last_used: Time,
 }
 
 impl Queue {
     pub(crate) fn new(workspace: WorkspaceId, now: Time) -> Queue {
         Queue {
             workspace,
-            places: BTreeSet::new(),
-            drain: Drain::default(),
+            positions: BTreeSet::new(),
+            drain: DrainRate::default(),
             running: 0,
             charged: 0,
-            waited: None,
-            doomed: Time(u64::MAX),
-            used: now,
+            last_backlogged: None,
+            next_too_late: Time(u64::MAX),
+            last_used: now,
         }
     }
 
     pub(crate) fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
-    /// Notes the time that passed since the last call.
-    pub(crate) fn pass(&mut self, now: Time) {
-        let waits = !self.is_empty();
-        self.drain.pass(waits, now);
-        if waits {
-            self.waited = Some(now);
+    /// Accounts for the time since the last call.
+    pub(crate) fn update_drain(&mut self, now: Time) {
+        let backlogged = !self.is_empty();
+        self.drain.advance(backlogged, now);
+        if backlogged {
+            self.last_backlogged = Some(now);
         }
     }
 
-    /// Returns how many would leave before this place.
-    pub(crate) fn before(&self, place: &Place) -> usize {
-        self.places.range(..place).count()
+    /// Returns the number of requests ahead of a position.
+    pub(crate) fn ahead_of(&self, position: &QueuePosition) -> usize {
+        self.positions.range(..position).count()
     }
 }
