--- a/crates/policy/src/service/replicas.rs
+++ b/crates/policy/src/service/replicas.rs
@@ -1,9 +1,9 @@
-//! The replicas of one service and how many requests this router may run on each.
+//! The replicas of one service, with this router's slots on each.
 
 use {
     super::{
         health::Health,
-        sample::Sample, //
+        sample::ReplicaSample, //
     },
     crate::{
         Replica,
@@ -15,46 +15,46 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// A replica, by a short hash of its name, on the wire.
+/// Short hash of a replica's name, used on the wire.
 pub(crate) type ReplicaKey = u32;
 
-/// One replica.
+/// One replica, with this router's slots on it.
 #[derive(Debug)]
-pub(crate) struct Seat {
+pub(crate) struct ReplicaSlots {
     pub(crate) replica: Replica,
     pub(crate) key: ReplicaKey,
-    /// Requests that this router may run on it at once.
+    /// Requests that this router may run on it concurrently.
     pub(crate) allowed: u32,
     pub(crate) running: u32,
-    /// Slots that the owner was last told to be kept, and by which report.
-    pub(crate) told: Option<u32>,
-    pub(crate) touched: u64,
-    /// Set when it was seen to leave before the list said so.
+    /// Kept slots as last reported to the owner, and the report in which they last changed.
+    pub(crate) reported: Option<u32>,
+    pub(crate) changed_in: u64,
+    /// Whether it announced its shutdown before the list showed it.
     pub(crate) withdrawn: bool,
     pub(crate) health: Health,
-    pub(crate) sample: Sample,
+    pub(crate) sample: ReplicaSample,
 }
 
 /// All replicas of one service.
 #[derive(Debug, Default)]
-pub(crate) struct Seats {
-    pub(crate) all: BTreeMap<ReplicaId, Seat>,
+pub(crate) struct ServiceReplicas {
+    pub(crate) all: BTreeMap<ReplicaId, ReplicaSlots>,
 }
 
-impl Seat {
-    /// Returns whether it takes new work.
-    pub(crate) fn open(&self) -> bool {
+impl ReplicaSlots {
+    /// Returns whether it accepts new work.
+    pub(crate) fn accepts_work(&self) -> bool {
         !self.replica.leaving && !self.withdrawn
     }
 
-    /// Returns how many slots this router keeps on it.
+    /// Returns the number of slots that this router keeps on it.
     pub(crate) fn kept(&self) -> u32 {
         self.allowed.max(self.running)
     }
 
     /// Returns how many more requests may start on it.
     fn free(&self, now: Time) -> u32 {
-        if !self.open() {
+        if !self.accepts_work() {
             return 0;
         }
         let free = self.allowed.saturating_sub(self.running);
@@ -62,39 +62,39 @@
     }
 }
 
-impl Seats {
-    /// Takes over a new list, which knows what was withdrawn before.
+impl ServiceReplicas {
+    /// Replaces the list of replicas; the new list already reflects earlier withdrawals.
     ///
-    /// Counts of replicas that stay are kept.
+    /// The counts of replicas that remain are kept.
     pub(crate) fn replace(&mut self, list: Vec<Replica>) {
         let mut old = std::mem::take(&mut self.all);
         for replica in list {
             let id = replica.id.clone();
-            let seat = match old.remove(&id) {
-                Some(s) => Seat {
+            let entry = match old.remove(&id) {
+                Some(s) => ReplicaSlots {
                     replica,
                     withdrawn: false,
                     ..s
                 },
-                None => Seat {
-                    key: key_of(&id),
+                None => ReplicaSlots {
+                    key: replica_key(&id),
                     replica,
                     allowed: 0,
                     running: 0,
-                    told: None,
-                    touched: 0,
+                    reported: None,
+                    changed_in: 0,
                     withdrawn: false,
                     health: Health::default(),
-                    sample: Sample::default(),
+                    sample: ReplicaSample::default(),
                 },
             };
-            self.all.insert(id, seat);
+            self.all.insert(id, entry);
         }
-        // A replica that is gone from the list still runs what it has.
-        for (id, mut seat) in old {
-            if seat.running > 0 {
-                seat.replica.leaving = true;
-                self.all.insert(id, seat);
+        // Requests still run on a replica that left the list.
+        for (id, mut entry) in old {
+            if entry.running > 0 {
+                entry.replica.leaving = true;
+                self.all.insert(id, entry);
             }
         }
     }
@@ -104,102 +104,106 @@
         self.all.values().map(|s| s.free(now)).sum()
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub(crate) fn running(&self) -> u32 {
         self.all.values().map(|s| s.running).sum()
     }
 
-    /// Returns whether any replica takes new work.
-    pub(crate) fn any_open(&self) -> bool {
-        self.all.values().any(Seat::open)
+    /// Returns whether any replica accepts new work.
+    pub(crate) fn any_available(&self) -> bool {
+        self.all.values().any(ReplicaSlots::accepts_work)
     }
 
-    /// Gives this router its static fraction of each replica.
-    pub(crate) fn allot(&mut self, limit: u32, rank: u32, routers: u32) {
-        for (at, seat) in self.all.values_mut().enumerate() {
+    /// Allows this router its static share of each replica.
+    pub(crate) fn set_static_share(&mut self, limit: u32, rank: u32, routers: u32) {
+        for (at, entry) in self.all.values_mut().enumerate() {
             let extra = (rank + at as u32) % routers < limit % routers;
-            seat.allowed = (limit / routers + u32::from(extra)).max(1);
+            entry.allowed = (limit / routers + u32::from(extra)).max(1);
         }
     }
 
-    /// Takes over what was lent: on the replicas named, or where it is `all`, on no other.
+    /// Applies granted slots. With `all`, replicas that are not listed get none.
     ///
-    /// Returns whether any slot was asked back.
-    pub(crate) fn allow(&mut self, slots: &[(ReplicaKey, u32)], all: bool) -> bool {
+    /// Returns whether the owner revoked any slot.
+    pub(crate) fn set_allowed(&mut self, slots: &[(ReplicaKey, u32)], all: bool) -> bool {
         let slots: BTreeMap<ReplicaKey, u32> = slots.iter().copied().collect();
-        let mut fewer = false;
-        for seat in self.all.values_mut() {
-            let Some(n) = slots.get(&seat.key).copied().or(all.then_some(0)) else {
+        let mut revoked = false;
+        for entry in self.all.values_mut() {
+            let Some(n) = slots.get(&entry.key).copied().or(all.then_some(0)) else {
                 continue;
             };
-            // One that was given back on its own counts too: the owner asked for it.
-            let named = slots.contains_key(&seat.key);
-            fewer |= n < seat.allowed || named && n == seat.allowed;
-            seat.allowed = n;
+            // A slot that was already released counts too, since the owner asked for it.
+            let named = slots.contains_key(&entry.key);
+            revoked |= n < entry.allowed || named && n == entry.allowed;
+            entry.allowed = n;
         }
-        fewer
+        revoked
     }
 
-    /// Returns what this router keeps of each replica where it changed after the report
-    /// `base`, to be told by the report `seq`; all that it keeps where there is no base.
-    pub(crate) fn news(&mut self, seq: u64, base: u64) -> Vec<(ReplicaKey, u32)> {
+    /// Returns the slots kept on each replica that changed after the report `base`, to be sent in
+    /// the report `seq`; on all replicas if there is no base.
+    pub(crate) fn report_changes(&mut self, seq: u64, base: u64) -> Vec<(ReplicaKey, u32)> {
         let mut out = Vec::new();
-        for seat in self.all.values_mut() {
-            let kept = seat.kept();
-            if seat.told != Some(kept) {
-                seat.told = Some(kept);
-                seat.touched = seq;
+        for entry in self.all.values_mut() {
+            let kept = entry.kept();
+            if entry.reported != Some(kept) {
+                entry.reported = Some(kept);
+                entry.changed_in = seq;
             }
-            let news = match base {
+            let changed = match base {
                 0 => kept > 0,
-                _ => seat.touched > base,
+                _ => entry.changed_in > base,
             };
-            if news {
-                out.push((seat.key, kept));
+            if changed {
+                out.push((entry.key, kept));
             }
         }
         out
     }
 
-    /// Keeps no more than what runs; returns whether that changed anything.
-    pub(crate) fn close(&mut self) -> bool {
-        let mut closed = false;
-        for seat in self.all.values_mut() {
-            closed |= seat.allowed > seat.running;
-            seat.allowed = seat.allowed.min(seat.running);
+    /// Releases all idle slots; returns whether there were any.
+    pub(crate) fn release_idle(&mut self) -> bool {
+        let mut released = false;
+        for entry in self.all.values_mut() {
+            released |= entry.allowed > entry.running;
+            entry.allowed = entry.allowed.min(entry.running);
         }
-        closed
+        released
     }
 
-    /// Returns the replicas that can take none of the requests which avoid these.
+    /// Returns the replicas that can serve none of the requests that avoid these replicas.
     ///
-    /// A replica that fails is let alone for a while, and a retry keeps away from the one
-    /// that failed it, unless there is no other.
-    pub(crate) fn shunned(&self, avoids: &[Option<&ReplicaId>], now: Time) -> Vec<ReplicaKey> {
+    /// A failing replica gets no requests for a while, and a retry avoids the replica that failed
+    /// it unless there is no other.
+    pub(crate) fn avoided_replicas(
+        &self,
+        avoids: &[Option<&ReplicaId>],
+        now: Time,
+    ) -> Vec<ReplicaKey> {
         if avoids.is_empty() {
             return Vec::new();
         }
-        let open = self.all.values().filter(|s| s.open());
+        let open = self.all.values().filter(|s| s.accepts_work());
         let others = open.clone().count() > 1;
-        let avoided = |s: &Seat| avoids.iter().all(|a| *a == Some(&s.replica.id));
+        let avoided = |s: &ReplicaSlots| avoids.iter().all(|a| *a == Some(&s.replica.id));
         open.filter(|s| !s.health.admits_any(s.running, now) || others && avoided(s))
             .map(|s| s.key)
             .collect()
     }
 
-    /// Keeps no more than what runs on these replicas; returns whether that changed anything.
-    pub(crate) fn close_some(&mut self, keys: &[ReplicaKey]) -> bool {
-        let mut closed = false;
-        for seat in self.all.values_mut().filter(|s| keys.contains(&s.key)) {
-            closed |= seat.allowed > seat.running;
-            seat.allowed = seat.allowed.min(seat.running);
+    /// Releases the idle slots of these replicas; returns whether there were any.
+    pub(crate) fn release_idle_on(&mut self, keys: &[ReplicaKey]) -> bool {
+        let mut released = false;
+        for entry in self.all.values_mut().filter(|s| keys.contains(&s.key)) {
+            released |= entry.allowed > entry.running;
+            entry.allowed = entry.allowed.min(entry.running);
         }
-        closed
+        released
     }
 
-    /// Chooses a replica with room: in this zone first, then the idlest.
+    /// Selects a replica with a free slot: in this zone first, then the one with most free slots.
     ///
-    /// `avoid` is chosen only when no other replica takes new work at all.
+    /// `avoid` is selected only if no other replica accepts new work.
     pub(crate) fn choose(
         &self,
         zone: &Zone,
@@ -209,7 +213,7 @@
         let others = self
             .all
             .values()
-            .any(|s| s.open() && Some(&s.replica.id) != avoid);
+            .any(|s| s.accepts_work() && Some(&s.replica.id) != avoid);
         self.all
             .values()
             .filter(|s| s.free(now) > 0)
@@ -220,6 +224,6 @@
 }
 
 /// Returns the short hash of a replica's name.
-pub(crate) fn key_of(id: &ReplicaId) -> ReplicaKey {
+pub(crate) fn replica_key(id: &ReplicaId) -> ReplicaKey {
     xxh3_64(id.as_str().as_bytes()) as ReplicaKey
 }
--- a/crates/policy/src/service/request.rs
+++ b/crates/policy/src/service/request.rs
@@ -1,4 +1,4 @@
-//! A request between its arrival and its end.
+//! A request from its arrival to its end.
 
 use crate::{
     shares::Key,
@@ -7,24 +7,24 @@
     Time, //
 };
 
-/// A request that is queued or runs.
+/// A queued or running request.
 #[derive(Debug)]
-pub(crate) struct Live {
+pub(crate) struct ActiveRequest {
     pub(crate) job: Job,
     pub(crate) key: Key,
-    /// Its place in the queue: by this moment, then by number.
+    /// Its position in the queue: ordered by due time, then by number.
     pub(crate) due: Time,
     pub(crate) number: u64,
-    /// Replica that a retry should not go to.
+    /// The replica that a retry avoids.
     pub(crate) avoid: Option<ReplicaId>,
     /// Set once it has started.
     pub(crate) run: Option<Run>,
 }
 
-impl Live {
-    /// Makes a request that is in no queue.
-    pub(crate) fn unqueued(job: Job) -> Live {
-        Live {
+impl ActiveRequest {
+    /// Creates a request that is in no queue.
+    pub(crate) fn new(job: Job) -> ActiveRequest {
+        ActiveRequest {
             key: Key::of(&job.workspace),
             due: due(&job),
             number: 0,
@@ -40,18 +40,18 @@
 pub(crate) struct Run {
     pub(crate) replica: ReplicaId,
     pub(crate) started: Time,
-    /// What was charged for it, in thousandths of a unit.
+    /// Its charge so far, in thousandths of a unit.
     pub(crate) charged: i64,
 }
 
-/// Most urgent level.
+/// The highest urgency.
 const URGENCY_MAX: u64 = 9;
 
-/// Returns the moment that a request is ordered by inside its workspace.
+/// Returns the due time that orders requests within their workspace.
 ///
-/// It is the deadline, brought forward by a tenth of the window for each level of
-/// urgency. So the order is by deadline among equals, urgent work goes first, and
-/// nothing waits forever, as even the least urgent grows old.
+/// It is the deadline, moved forward by a tenth of the time from arrival to deadline for each
+/// level of urgency. Equally urgent requests run in order of their deadlines, urgent ones run
+/// first, and none starves, as even the least urgent request becomes due.
 pub(crate) fn due(job: &Job) -> Time {
     let window = job.deadline.since(job.arrived).0;
     let urgency = u64::from(job.urgency).min(URGENCY_MAX);
--- a/crates/policy/src/service/sample.rs
+++ b/crates/policy/src/service/sample.rs
@@ -1,21 +1,21 @@
-//! How fast a replica answered since the owner was last told.
+//! Performance of a replica since the last report to the owner.
 
 use crate::{
-    dispatch::Load,
+    dispatch::ReplicaLoad,
     service::ReplicaKey,
     Completion,
     Span, //
 };
 
-/// What was seen of one replica.
+/// Observed performance of one replica.
 #[derive(Debug, Default)]
-pub(crate) struct Sample {
-    first: Mean,
-    gap: Mean,
+pub(crate) struct ReplicaSample {
+    first_byte: Mean,
+    token_gap: Mean,
     failed: bool,
     seen: bool,
-    /// What the replica last said of itself: requests that run and that wait inside it.
-    pub(crate) said: Option<(u32, u32)>,
+    /// Its last load report: requests that run on it and that wait inside it.
+    pub(crate) self_reported: Option<(u32, u32)>,
 }
 
 #[derive(Debug, Default)]
@@ -24,37 +24,37 @@
     n: u64,
 }
 
-impl Sample {
-    /// Notes the end of a request.
-    pub(crate) fn note(&mut self, f: &Completion) {
+impl ReplicaSample {
+    /// Records the end of a request.
+    pub(crate) fn record_completion(&mut self, f: &Completion) {
         self.seen = true;
         self.failed |= !f.ok;
         if f.ok {
-            self.first.push(f.first_byte);
-            self.gap.push(f.token_gap);
+            self.first_byte.push(f.first_byte);
+            self.token_gap.push(f.token_gap);
         }
     }
 
-    /// Notes tokens that came this long after the ones before.
-    pub(crate) fn tokens(&mut self, count: u32, took: Span) {
+    /// Records tokens that arrived `took` after the previous ones.
+    pub(crate) fn record_tokens(&mut self, count: u32, took: Span) {
         self.seen = true;
-        self.gap.sum += took.0;
-        self.gap.n += u64::from(count);
+        self.token_gap.sum += took.0;
+        self.token_gap.n += u64::from(count);
     }
 
-    /// Returns what the owner should be told, and begins anew.
-    pub(crate) fn take(&mut self, key: ReplicaKey, running: u32) -> Option<Load> {
+    /// Returns the performance to report to the owner, and resets it.
+    pub(crate) fn take_load(&mut self, key: ReplicaKey, running: u32) -> Option<ReplicaLoad> {
         let s = std::mem::take(self);
-        if !s.seen && s.said.is_none() {
+        if !s.seen && s.self_reported.is_none() {
             return None;
         }
-        Some(Load {
+        Some(ReplicaLoad {
             key,
             running,
-            first: s.first.get(),
-            gap: s.gap.get(),
+            first_byte: s.first_byte.get(),
+            token_gap: s.token_gap.get(),
             ok: !s.failed,
-            said: s.said,
+            self_reported: s.self_reported,
         })
     }
 }
