--- a/crates/policy/src/limit/floors.rs
+++ b/crates/policy/src/limit/baselines.rs
@@ -1,15 +1,15 @@
 //! The times of a replica that is not full, and how far it is above them.
 
 use super::{
-    cut::Kind,
-    rules::{
+    baseline::Track,
+    decrease::Kind,
+    parameters::{
         Bounds,
         FIRST,
         GAP,
         PLAIN,
         RISEN, //
     },
-    track::Track,
     window::Window, //
 };
 
--- a/crates/policy/src/limit/ceiling.rs
+++ b/crates/policy/src/limit/ceiling.rs
@@ -1,7 +1,7 @@
 //! A limit that was too high a short while ago.
 
 use {
-    super::rules::HOLD,
+    super::parameters::HOLD,
     crate::{
         Slots,
         Span,
--- a/crates/policy/src/limit/learner.rs
+++ b/crates/policy/src/limit/concurrency.rs
@@ -2,17 +2,17 @@
 
 use {
     super::{
+        baselines::{
+            Floors,
+            Pace, //
+        },
         ceiling::Ceiling,
-        cut::{
+        decrease::{
             Cut,
             Kind,
             Trail, //
         },
-        floors::{
-            Floors,
-            Pace, //
-        },
-        rules::{
+        parameters::{
             ABOVE_FULL,
             CAP,
             EVIDENCE,
--- a/crates/policy/src/limit/cut.rs
+++ b/crates/policy/src/limit/decrease.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        rules::{
+        parameters::{
             CHANGED,
             NEAR,
             SETTLED, //
--- a/crates/policy/src/limit/mod.rs
+++ b/crates/policy/src/limit/mod.rs
@@ -5,12 +5,12 @@
 //! that number: the engine is full, and nobody waits inside it who could wait in a queue
 //! that knows shares and deadlines.
 
+mod baseline;
+mod baselines;
 mod ceiling;
-mod cut;
-mod floors;
-mod learner;
-mod rules;
-mod track;
+mod concurrency;
+mod decrease;
+mod parameters;
 mod window;
 
-pub use self::learner::Limit;
+pub use self::concurrency::Limit;
