--- a/crates/policy/src/limit/baseline.rs
+++ b/crates/policy/src/limit/baseline.rs
@@ -1,38 +1,38 @@
-//! One kind of time that a replica is judged by, and what it is when the replica is not full.
+//! Baseline of one kind of latency: its value while the replica is not saturated.
 
-/// How much of the difference a lower time moves the floor; less than 1 against noise.
+/// Weight of a lower latency in the baseline; below 1 to filter noise.
 const LOWER_WEIGHT: f64 = 0.05;
-/// A time below this part of the floor is no noise: the replica has become faster.
-const SURELY_LOWER: f64 = 0.8;
-/// The floor of one kind of time, and the multiples of it that matter.
+/// A latency below this multiple of the baseline is not noise: the replica has become faster.
+const FASTER_RATIO: f64 = 0.8;
+/// Baseline of one kind of latency.
 #[derive(Debug)]
-pub(super) struct Track {
-    floor: Option<f64>,
+pub(super) struct Baseline {
+    value: Option<f64>,
 }
 
-impl Track {
-    pub(super) fn new() -> Track {
-        Track { floor: None }
+impl Baseline {
+    pub(super) fn new() -> Baseline {
+        Baseline { value: None }
     }
 
-    /// Returns a time as a multiple of the floor, which it sets or lowers.
+    /// Returns a latency as a multiple of the baseline, which it sets or lowers.
     pub(super) fn ratio(&mut self, time: f64) -> f64 {
-        let floor = self.floor.get_or_insert(time);
-        let ratio = time / *floor;
-        if ratio < SURELY_LOWER {
-            *floor = time;
+        let value = self.value.get_or_insert(time);
+        let ratio = time / *value;
+        if ratio < FASTER_RATIO {
+            *value = time;
         } else if ratio < 1.0 {
-            *floor += (time - *floor) * LOWER_WEIGHT;
+            *value += (time - *value) * LOWER_WEIGHT;
         }
         ratio
     }
 
-    pub(super) fn floor(&self) -> Option<f64> {
-        self.floor
+    pub(super) fn value(&self) -> Option<f64> {
+        self.value
     }
 
-    /// Sets the floor to the time of a replica that is surely not full.
+    /// Sets the baseline to the latency of a replica that is known not to be saturated.
     pub(super) fn set(&mut self, time: f64) {
-        self.floor = Some(time);
+        self.value = Some(time);
     }
 }
--- a/crates/policy/src/limit/baselines.rs
+++ b/crates/policy/src/limit/baselines.rs
@@ -1,81 +1,87 @@
-//! The times of a replica that is not full, and how far it is above them.
+//! Baseline latencies of a replica, and its slowdown relative to them.
 
 use super::{
-    baseline::Track,
-    decrease::Kind,
+    baseline::Baseline,
+    decrease::LatencyKind,
     parameters::{
-        Bounds,
-        FIRST,
-        GAP,
-        PLAIN,
-        RISEN, //
+        RatioBounds,
+        ANSWER_BOUNDS,
+        FIRST_BYTE_BOUNDS,
+        RISEN_RATIO, //
+        TOKEN_GAP_BOUNDS,
     },
     window::Window, //
 };
 
-/// The floors of both kinds of time.
+/// The baselines of both kinds of latency.
 #[derive(Debug)]
-pub(super) struct Floors {
-    gap: Track,
-    first: Track,
+pub(super) struct Baselines {
+    token_gap: Baseline,
+    first_byte: Baseline,
 }
 
-/// How slow the replica is, as a multiple of its floor.
-pub(super) struct Pace {
-    pub(super) kind: Kind,
+/// Latency of a replica as a multiple of its baseline.
+pub(super) struct Slowdown {
+    pub(super) kind: LatencyKind,
     pub(super) ratio: f64,
     pub(super) slow: bool,
-    pub(super) steady: bool,
+    pub(super) near_baseline: bool,
 }
 
-impl Floors {
-    pub(super) fn new() -> Floors {
-        Floors {
-            gap: Track::new(),
-            first: Track::new(),
+impl Baselines {
+    pub(super) fn new() -> Baselines {
+        Baselines {
+            token_gap: Baseline::new(),
+            first_byte: Baseline::new(),
         }
     }
 
-    /// Compares times with the floors, and sets or lowers them.
-    pub(super) fn pace(&mut self, sum: &Window) -> Option<Pace> {
-        let gap = sum.gap().map(|t| self.gap.ratio(t));
-        let first = sum.first().map(|t| self.first.ratio(t));
-        let pace = |kind, ratio, b: Bounds| Pace {
+    /// Compares latencies with the baselines, and sets or lowers these.
+    pub(super) fn slowdown(&mut self, sum: &Window) -> Option<Slowdown> {
+        let gap = sum.token_gap().map(|t| self.token_gap.ratio(t));
+        let first = sum.first_byte().map(|t| self.first_byte.ratio(t));
+        let compare = |kind, ratio, bounds: RatioBounds| Slowdown {
             kind,
             ratio,
-            slow: ratio > b.shrink,
-            steady: ratio <= b.grow,
+            slow: ratio > bounds.shrink,
+            near_baseline: ratio <= bounds.grow,
         };
         match (gap, first) {
             (Some(gap), Some(first)) => {
-                let (gap, first) = (pace(Kind::Gap, gap, GAP), pace(Kind::First, first, FIRST));
-                let steady = gap.steady && first.steady;
+                let (gap, first) = (
+                    compare(LatencyKind::TokenGap, gap, TOKEN_GAP_BOUNDS),
+                    compare(LatencyKind::FirstByte, first, FIRST_BYTE_BOUNDS),
+                );
+                let near_baseline = gap.near_baseline && first.near_baseline;
                 let worst = if first.slow && !gap.slow { first } else { gap };
-                Some(Pace { steady, ..worst })
+                Some(Slowdown {
+                    near_baseline,
+                    ..worst
+                })
             }
-            (Some(gap), None) => Some(pace(Kind::Gap, gap, GAP)),
-            (None, Some(first)) => Some(pace(Kind::Answer, first, PLAIN)),
+            (Some(gap), None) => Some(compare(LatencyKind::TokenGap, gap, TOKEN_GAP_BOUNDS)),
+            (None, Some(first)) => Some(compare(LatencyKind::Answer, first, ANSWER_BOUNDS)),
             (None, None) => None,
         }
     }
 
-    /// Returns whether times are well above the floor.
-    pub(super) fn risen(&self, w: &Window) -> bool {
-        let (time, track) = match w.gap() {
-            Some(gap) => (Some(gap), &self.gap),
-            None => (w.first(), &self.first),
+    /// Returns whether latencies are well above the baseline.
+    pub(super) fn has_risen(&self, w: &Window) -> bool {
+        let (time, baseline) = match w.token_gap() {
+            Some(gap) => (Some(gap), &self.token_gap),
+            None => (w.first_byte(), &self.first_byte),
         };
-        let both = time.zip(track.floor());
-        both.is_some_and(|(time, floor)| time > floor * RISEN)
+        let pair = time.zip(baseline.value());
+        pair.is_some_and(|(time, value)| time > value * RISEN_RATIO)
     }
 
-    /// Takes these times for the floor.
+    /// Makes these latencies the baselines.
     pub(super) fn rebase(&mut self, w: &Window) {
-        if let Some(t) = w.gap() {
-            self.gap.set(t);
+        if let Some(t) = w.token_gap() {
+            self.token_gap.set(t);
         }
-        if let Some(t) = w.first() {
-            self.first.set(t);
+        if let Some(t) = w.first_byte() {
+            self.first_byte.set(t);
         }
     }
 }
--- a/crates/policy/src/limit/ceiling.rs
+++ b/crates/policy/src/limit/ceiling.rs
@@ -1,7 +1,7 @@
-//! A limit that was too high a short while ago.
+//! A limit that was recently found too high.
 
 use {
-    super::parameters::HOLD,
+    super::parameters::CEILING_HOLDS,
     crate::{
         Slots,
         Span,
@@ -9,29 +9,29 @@
     },
 };
 
-/// A limit at which the replica was found more than full.
+/// A limit at which the replica was found to be oversaturated.
 #[derive(Debug)]
 pub(super) struct Ceiling {
     limit: Slots,
-    /// Until when it is not tried again, and for how long it was not.
-    until: Time,
+    /// Until when it is not tried again, and the length of that time.
+    blocked_until: Time,
     hold: Span,
 }
 
 impl Ceiling {
-    /// Keeps below a limit for a while; longer than after the last one.
+    /// Blocks a limit for a while, for twice as long as the last one.
     pub(super) fn new(limit: Slots, last: Option<Ceiling>, now: Time) -> Ceiling {
         let last = last.map_or(Span::ZERO, |c| c.hold);
-        let hold = Span((last.0 * 2).clamp(HOLD[0].0, HOLD[1].0));
+        let hold = Span((last.0 * 2).clamp(CEILING_HOLDS[0].0, CEILING_HOLDS[1].0));
         Ceiling {
             limit,
-            until: now + hold,
+            blocked_until: now + hold,
             hold,
         }
     }
 
     /// Returns whether a limit may be tried.
     pub(super) fn admits(&self, limit: Slots, now: Time) -> bool {
-        now >= self.until || limit < self.limit
+        now >= self.blocked_until || limit < self.limit
     }
 }
--- a/crates/policy/src/limit/concurrency.rs
+++ b/crates/policy/src/limit/concurrency.rs
@@ -1,36 +1,36 @@
-//! The limit of one replica, and how it is learnt.
+//! The concurrency limit of one replica, and how it is learnt.
 
 use {
     super::{
         baselines::{
-            Floors,
-            Pace, //
+            Baselines,
+            Slowdown, //
         },
         ceiling::Ceiling,
         decrease::{
-            Cut,
-            Kind,
-            Trail, //
+            Decrease,
+            LatencyKind,
+            RecentWindows, //
         },
         parameters::{
-            ABOVE_FULL,
-            CAP,
-            EVIDENCE,
-            FLAT,
-            FULL,
-            GROWTH,
-            IN_USE,
-            KEPT_REFUSED,
-            LEAST_KEPT,
-            PATIENCE,
-            PROBE,
-            PROBE_EVIDENCE,
-            PROBE_KEPT,
-            QUEUED_KEPT,
-            QUICKER,
-            RECENT,
+            DECREASE_TIMEOUT_WINDOWS,
+            FLAT_RATIO,
+            GROWTH_FACTOR,
+            GROWTH_RATES,
+            HEADROOM_RATIO,
+            IN_USE_RATIO,
+            MAX_LIMIT,
+            MAX_WINDOWS,
+            MIN_KEPT_RATIO,
+            MIN_SATURATION,
+            MIN_WINDOWS,
+            PROBE_INTERVALS,
+            PROBE_KEPT_RATIO,
+            PROBE_MIN_WINDOWS,
+            QUEUED_KEPT_RATIO,
+            REJECTED_KEPT_RATIO,
             REPORT_LAG,
-            WINDOW, //
+            SAMPLE_WINDOW, //
         },
         window::Window, //
     },
@@ -41,313 +41,329 @@
     },
 };
 
-/// The number of requests that one replica can run at once, as learnt so far.
+/// The learnt number of requests that one replica can run concurrently.
 ///
 /// # Examples
 ///
 /// ```
-/// use policy::{limit::Limit, Slots, Span, Time};
+/// use policy::{limit::ConcurrencyLimit, Slots, Span, Time};
 ///
-/// let mut limit = Limit::new(Slots(4));
+/// let mut limit = ConcurrencyLimit::new(Slots(4));
 /// for s in 0..5 {
 ///     let gap = Some(Span::millis(20));
-///     limit.sample(None, gap, limit.get(), true, Time(0) + Span::secs(s));
+///     limit.record(None, gap, limit.get(), true, Time(0) + Span::secs(s));
 /// }
 /// assert!(limit.get() > Slots(4));
 /// ```
 #[derive(Debug)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     limit: f64,
-    cap: f64,
+    max_limit: f64,
     window: Window,
-    floors: Floors,
-    /// The part that the next growth adds.
-    rate: f64,
-    /// When the floor was last looked for, and how long until the next time.
-    probed: Option<Time>,
-    period: Span,
-    /// Whether the floor may be looked for now.
-    probes: bool,
-    /// When the engine's report last brought a decrease.
-    reported: Option<Time>,
-    /// The last windows since the limit was changed, and how many there were.
-    recent: Trail,
-    age: usize,
-    /// Too much for the replica a short while ago.
+    baselines: Baselines,
+    /// Relative size of the next increase.
+    growth_rate: f64,
+    /// When the last probe of the baseline started, and the interval to the next one.
+    last_probe: Option<Time>,
+    probe_interval: Span,
+    /// Whether a probe may start now.
+    probe_allowed: bool,
+    /// When a load report of the engine last caused a decrease.
+    last_report_decrease: Option<Time>,
+    /// The last windows since the limit changed, and the number of all of them.
+    recent: RecentWindows,
+    windows_since_change: usize,
+    /// A limit that was recently found too high.
     ceiling: Option<Ceiling>,
-    cut: Option<Cut>,
+    decrease: Option<Decrease>,
 }
 
-impl Limit {
-    /// Makes the limit of a replica of which nothing is known.
-    pub fn new(start: Slots) -> Limit {
-        Limit {
+impl ConcurrencyLimit {
+    /// Creates the limit of a replica about which nothing is known.
+    pub fn new(start: Slots) -> ConcurrencyLimit {
+        ConcurrencyLimit {
             limit: f64::from(start.0.max(1)),
-            cap: CAP,
+            max_limit: MAX_LIMIT,
             window: Window::default(),
-            floors: Floors::new(),
-            rate: GROWTH[0],
-            probed: None,
-            period: PROBE[0],
-            probes: true,
-            reported: None,
-            recent: Trail::default(),
-            age: 0,
+            baselines: Baselines::new(),
+            growth_rate: GROWTH_RATES[0],
+            last_probe: None,
+            probe_interval: PROBE_INTERVALS[0],
+            probe_allowed: true,
+            last_report_decrease: None,
+            recent: RecentWindows::default(),
+            windows_since_change: 0,
             ceiling: None,
-            cut: None,
+            decrease: None,
         }
     }
 
-    /// Never lets the limit rise above `cap`.
-    pub fn capped(mut self, cap: Slots) -> Limit {
-        self.cap = f64::from(cap.0.max(1));
-        self.limit = self.limit.min(self.cap);
+    /// Bounds the limit by `max_limit`.
+    pub fn with_max(mut self, max_limit: Slots) -> ConcurrencyLimit {
+        self.max_limit = f64::from(max_limit.0.max(1));
+        self.limit = self.limit.min(self.max_limit);
         self
     }
 
-    /// Returns how many requests may run at once, at least 1.
+    /// Returns how many requests may run concurrently; at least 1.
     pub fn get(&self) -> Slots {
         Slots(self.limit.round() as u32)
     }
 
-    /// Says whether the floor may be looked for now, which takes some slots for a while.
+    /// Sets whether a probe of the baseline may start, which takes some slots for a while.
     ///
-    /// Replicas of one pool that did so at the same moment would leave a part of it idle.
+    /// If all replicas of a pool probed at the same time, a part of the pool would be idle.
     pub fn allow_probe(&mut self, allow: bool) {
-        self.probes = allow;
+        self.probe_allowed = allow;
     }
 
-    /// Returns whether the floor is being looked for.
-    pub fn probing(&self) -> bool {
-        self.cut.as_ref().is_some_and(|c| c.probe)
+    /// Returns whether a probe of the baseline is running.
+    pub fn is_probing(&self) -> bool {
+        self.decrease.as_ref().is_some_and(|c| c.is_probe)
     }
 
-    /// Returns how many slots a look for the floor takes.
+    /// Returns the number of slots that a probe takes.
     pub fn probe_cost(&self) -> Slots {
         let limit = self.get();
         Slots(limit.0 - probe_target(limit).0)
     }
 
-    /// Takes what was seen of the replica over a report's interval: the mean time to first
-    /// token (or to the answer) and between tokens, how many requests ran in all, and
-    /// whether it accepted what it was given.
-    pub fn sample(
+    /// Records the performance of the replica over the interval of a report: the mean times to the
+    /// first token (or to the answer) and between tokens, the number of running requests, and
+    /// whether it accepted all requests.
+    pub fn record(
         &mut self,
-        first: Option<Span>,
-        gap: Option<Span>,
+        first_byte: Option<Span>,
+        token_gap: Option<Span>,
         running: Slots,
         ok: bool,
         now: Time,
     ) {
         let start = *self.window.start.get_or_insert(now);
-        self.window.push(first, gap, running, ok);
-        if now.since(start) >= WINDOW {
+        self.window.push(first_byte, token_gap, running, ok);
+        if now.since(start) >= SAMPLE_WINDOW {
             let w = std::mem::take(&mut self.window);
             self.window.start = Some(now);
-            self.learn(&w, now);
+            self.evaluate_window(&w, now);
         }
     }
 
-    /// Takes the engine's own report, which lags: what runs, and what waits inside it.
-    pub fn load(&mut self, running: u32, waiting: u32, now: Time) {
-        // An engine that admits whatever comes counts requests as waiting until their first
-        // token, in normal work too. A limit cut to what runs would leave their slots idle
-        // while work waits at the routers. Only more waiting than running is a queue, and
-        // nothing below what is inside is taken away.
+    /// Records a load report of the engine, which lags: its running and its waiting requests.
+    pub fn record_load(&mut self, running: u32, waiting: u32, now: Time) {
+        // An engine that admits every request counts it as waiting until its first token, under
+        // normal load too. A limit reduced to the running requests would leave slots idle while
+        // requests are queued at the routers. So only more waiting than running requests count as
+        // a queue, and the limit is not reduced below the number of requests inside the engine.
         let inside = f64::from(running) + f64::from(waiting);
-        let lately = self.reported.is_some_and(|t| now.since(t) < REPORT_LAG);
-        if waiting > running && running > 0 && !lately && inside < self.limit {
-            self.reported = Some(now);
-            self.put(inside);
+        let recent_report = self
+            .last_report_decrease
+            .is_some_and(|t| now.since(t) < REPORT_LAG);
+        if waiting > running && running > 0 && !recent_report && inside < self.limit {
+            self.last_report_decrease = Some(now);
+            self.set_limit(inside);
         }
     }
 
-    /// Draws the conclusion from one window.
-    fn learn(&mut self, w: &Window, now: Time) {
-        if w.refused {
-            self.cut = None;
-            self.put(self.limit.min(w.running().max(1.0)) * KEPT_REFUSED);
+    /// Adjusts the limit by the results of one window.
+    fn evaluate_window(&mut self, w: &Window, now: Time) {
+        if w.rejected {
+            self.decrease = None;
+            self.set_limit(self.limit.min(w.running().max(1.0)) * REJECTED_KEPT_RATIO);
             return;
         }
-        if self.cut.is_some() {
-            self.judge(w, now);
+        if self.decrease.is_some() {
+            self.evaluate_decrease(w, now);
             return;
         }
-        if self.recent.differs(w) {
-            self.recent = Trail::default();
+        if self.recent.differs_from(w) {
+            self.recent = RecentWindows::default();
         }
-        self.recent.push(w, RECENT);
-        self.age += 1;
-        if self.recent.count() < EVIDENCE {
+        self.recent.push(w, MAX_WINDOWS);
+        self.windows_since_change += 1;
+        if self.recent.count() < MIN_WINDOWS {
             return;
         }
-        let Some(pace) = self.floors.pace(&self.recent.sum()) else {
+        let Some(slowdown) = self.baselines.slowdown(&self.recent.sum()) else {
             return;
         };
-        let probed = *self.probed.get_or_insert(now);
-        let due = self.probes && now.since(probed) >= self.period;
-        let used = self.recent.sum().running() + 1.0 > self.limit * IN_USE;
-        let full = self.recent.count() == RECENT && self.age > RECENT;
-        if !pace.steady {
-            self.rate = GROWTH[0];
+        let probed = *self.last_probe.get_or_insert(now);
+        let due = self.probe_allowed && now.since(probed) >= self.probe_interval;
+        let in_use = self.recent.sum().running() + 1.0 > self.limit * IN_USE_RATIO;
+        let enough = self.recent.count() == MAX_WINDOWS && self.windows_since_change > MAX_WINDOWS;
+        if !slowdown.near_baseline {
+            self.growth_rate = GROWTH_RATES[0];
         }
-        if pace.slow {
-            if full {
-                self.shrink(&pace, now);
+        if slowdown.slow {
+            if enough {
+                self.shrink(&slowdown, now);
             }
-        } else if pace.steady && used && self.free(now) {
-            self.grow(pace.ratio);
-        } else if due && used && full {
-            self.probe(now);
+        } else if slowdown.near_baseline && in_use && self.below_ceiling(now) {
+            self.grow(slowdown.ratio);
+        } else if due && in_use && enough {
+            self.start_probe(now);
         }
     }
 
-    /// Returns whether the next increase stays below what was too much a short while ago.
-    fn free(&self, now: Time) -> bool {
-        let next = Slots((self.limit + self.more()).round() as u32);
+    /// Returns whether the next increase stays below a limit recently found too high.
+    fn below_ceiling(&self, now: Time) -> bool {
+        let next = Slots((self.limit + self.growth_step()).round() as u32);
         let ceiling = self.ceiling.as_ref();
         ceiling.is_none_or(|c| c.admits(next, now))
     }
 
-    fn more(&self) -> f64 {
-        (self.limit * self.rate).max(1.0)
+    fn growth_step(&self) -> f64 {
+        (self.limit * self.growth_rate).max(1.0)
     }
 
-    /// Lets more run; by ever larger steps as long as that makes nothing slower.
+    /// Increases the limit, by growing steps while latency stays near the baseline.
     fn grow(&mut self, ratio: f64) {
-        // A replica that starts at what it can run would be overfull for seconds after one
-        // large step. The cut after it takes slots from every router at once, which shows as
-        // a wider fairness gap.
-        let faster = if ratio <= FLAT { QUICKER } else { 0.0 };
-        self.put(self.limit + self.more());
-        self.rate = (self.rate * faster).clamp(GROWTH[0], GROWTH[1]);
+        // Starting with a large step would oversaturate a replica for seconds if it is already
+        // near its capacity. The decrease that follows would take slots from every router at once,
+        // which widens the fairness gap.
+        let factor = if ratio <= FLAT_RATIO {
+            GROWTH_FACTOR
+        } else {
+            0.0
+        };
+        self.set_limit(self.limit + self.growth_step());
+        self.growth_rate = (self.growth_rate * factor).clamp(GROWTH_RATES[0], GROWTH_RATES[1]);
     }
 
-    /// Takes the limit down to where the replica should be just full, and watches what that
-    /// changes.
-    fn shrink(&mut self, pace: &Pace, now: Time) {
+    /// Decreases the limit to the point where the replica should be just saturated, and starts to
+    /// observe the effect.
+    fn shrink(&mut self, slowdown: &Slowdown, now: Time) {
         let running = self.recent.sum().running();
         if running < 1.5 {
-            // One request alone can't be slowed by others: this is the floor now.
-            self.probed = Some(now);
+            // A single request can't be slowed by others, so this latency is the baseline.
+            self.last_probe = Some(now);
             let alone = self.recent.sum();
-            return self.floors.rebase(&alone);
+            return self.baselines.rebase(&alone);
         }
-        let kept = match pace.kind {
-            // A queue inside the engine delays the first token only. Its length can't be
-            // told from the delay.
-            Kind::First => QUEUED_KEPT,
-            _ => (ABOVE_FULL / pace.ratio).max(LEAST_KEPT),
+        let kept_ratio = match slowdown.kind {
+            // A queue inside the engine delays only the first token, and the delay doesn't show
+            // the length of the queue.
+            LatencyKind::FirstByte => QUEUED_KEPT_RATIO,
+            _ => (HEADROOM_RATIO / slowdown.ratio).max(MIN_KEPT_RATIO),
         };
-        let least = f64::from(self.get().0) - 1.0;
-        self.cut(
-            pace.kind,
-            (self.limit.min(running) * kept).round().min(least),
+        let most = f64::from(self.get().0) - 1.0;
+        self.start_decrease(
+            slowdown.kind,
+            (self.limit.min(running) * kept_ratio).round().min(most),
         );
     }
 
-    /// Takes a few slots away, to see whether the floor is where it is believed to be.
-    fn probe(&mut self, now: Time) {
+    /// Starts a probe: a small decrease that shows whether the baseline is still valid.
+    fn start_probe(&mut self, now: Time) {
         let target = probe_target(self.get());
-        self.probed = Some(now);
+        self.last_probe = Some(now);
         if target < self.get() {
-            let kind = match self.recent.sum().gap() {
-                Some(_) => Kind::Gap,
-                None => Kind::Answer,
+            let kind = match self.recent.sum().token_gap() {
+                Some(_) => LatencyKind::TokenGap,
+                None => LatencyKind::Answer,
             };
-            self.cut(kind, f64::from(target.0));
-            self.cut.iter_mut().for_each(|c| c.probe = true);
+            self.start_decrease(kind, f64::from(target.0));
+            self.decrease.iter_mut().for_each(|c| c.is_probe = true);
         }
     }
 
-    fn cut(&mut self, kind: Kind, limit: f64) {
-        self.cut = Some(Cut {
-            probe: false,
+    fn start_decrease(&mut self, kind: LatencyKind, limit: f64) {
+        self.decrease = Some(Decrease {
+            is_probe: false,
             kind,
-            limit: self.limit,
-            top: self.limit,
+            previous_limit: self.limit,
+            initial_limit: self.limit,
             before: self.recent.sum(),
-            after: Trail::default(),
-            age: 0,
+            after: RecentWindows::default(),
+            windows: 0,
             settled: false,
         });
-        self.put(limit);
+        self.set_limit(limit);
     }
 
-    /// Sees what a decrease has changed, once fewer requests run.
-    fn judge(&mut self, w: &Window, now: Time) {
-        // An engine that has become slower for every request looks like one that is full. Cut
-        // after cut would bring its limit to 1 and leave it idle. A cut tells the two apart:
-        // fewer requests make a full replica faster, and a slow one not at all.
-        let Some(mut cut) = self.cut.take() else {
+    /// Evaluates the effect of a decrease once fewer requests run.
+    fn evaluate_decrease(&mut self, w: &Window, now: Time) {
+        // An engine that has become slower for all requests looks like a saturated one, and
+        // repeated decreases would end at a limit of 1 and leave it idle. The effect of a decrease
+        // tells the two apart: fewer requests speed up a saturated replica, but not a slow one.
+        let Some(mut decrease) = self.decrease.take() else {
             return;
         };
-        let wanted = if cut.probe { PROBE_EVIDENCE } else { EVIDENCE };
-        cut.see(w, self.limit);
-        if cut.after.count() < wanted {
-            match cut.age < PATIENCE {
-                true => self.cut = Some(cut),
-                false if cut.probe => self.put(cut.top),
+        let needed = if decrease.is_probe {
+            PROBE_MIN_WINDOWS
+        } else {
+            MIN_WINDOWS
+        };
+        decrease.record_window(w, self.limit);
+        if decrease.after.count() < needed {
+            match decrease.windows < DECREASE_TIMEOUT_WINDOWS {
+                true => self.decrease = Some(decrease),
+                false if decrease.is_probe => self.set_limit(decrease.initial_limit),
                 false => {}
             }
             return;
         }
-        let after = cut.after.sum();
-        if cut.worse() {
-            // The engine has changed meanwhile, so the cut shows nothing. Its times must not
-            // become the floor: an engine that lost half of its memory would count as well.
-            if cut.probe {
-                self.put(cut.top);
+        let after = decrease.after.sum();
+        if decrease.got_slower() {
+            // The engine has changed meanwhile, so the decrease shows nothing. Its latencies must
+            // not become the baseline, as this may be an engine that lost half of its memory.
+            if decrease.is_probe {
+                self.set_limit(decrease.initial_limit);
             }
             return;
         }
-        let fullness = cut.fullness(self.limit);
-        if cut.probe && fullness.is_none() {
-            // The load ended meanwhile, and nothing was seen. Going on would end at 1, and
-            // leave the replica idle when work comes back.
-            self.put(cut.top);
+        let saturation = decrease.saturation(self.limit);
+        if decrease.is_probe && saturation.is_none() {
+            // The load ended meanwhile, so nothing was observed. Further probes would reduce the
+            // limit to 1, and leave the replica idle when requests arrive again.
+            self.set_limit(decrease.initial_limit);
             return;
         }
-        let full = fullness.is_none_or(|f| f >= FULL);
-        match (cut.probe, full) {
+        let saturated = saturation.is_none_or(|f| f >= MIN_SATURATION);
+        match (decrease.is_probe, saturated) {
             (true, true) => {
-                // Fewer requests were faster, so it was more than full: go on looking.
-                self.recent = cut.after;
-                self.probe(now);
-                self.cut.iter_mut().for_each(|c| c.top = cut.top);
+                // Fewer requests ran faster, so the replica was oversaturated: continue to probe.
+                self.recent = decrease.after;
+                self.start_probe(now);
+                self.decrease
+                    .iter_mut()
+                    .for_each(|c| c.initial_limit = decrease.initial_limit);
             }
             (true, false) => {
-                self.probed = Some(now);
-                self.period = match self.floors.risen(&after) {
-                    true => PROBE[0],
-                    false => Span((self.period.0 * 2).min(PROBE[1].0)),
+                self.last_probe = Some(now);
+                self.probe_interval = match self.baselines.has_risen(&after) {
+                    true => PROBE_INTERVALS[0],
+                    false => Span((self.probe_interval.0 * 2).min(PROBE_INTERVALS[1].0)),
                 };
-                self.floors.rebase(&after);
-                self.put(cut.top.min(cut.limit * ABOVE_FULL));
+                self.baselines.rebase(&after);
+                self.set_limit(
+                    decrease
+                        .initial_limit
+                        .min(decrease.previous_limit * HEADROOM_RATIO),
+                );
             }
             (false, true) => {
-                let limit = Slots(cut.limit.round() as u32);
+                let limit = Slots(decrease.previous_limit.round() as u32);
                 self.ceiling = Some(Ceiling::new(limit, self.ceiling.take(), now));
             }
             (false, false) => {
-                self.probed = Some(now);
-                self.period = Span(PROBE[0].0 * 2);
+                self.last_probe = Some(now);
+                self.probe_interval = Span(PROBE_INTERVALS[0].0 * 2);
                 self.ceiling = None;
-                self.floors.rebase(&after);
-                self.put(cut.limit);
+                self.baselines.rebase(&after);
+                self.set_limit(decrease.previous_limit);
             }
         }
     }
 
-    fn put(&mut self, limit: f64) {
-        self.limit = limit.clamp(1.0, self.cap);
-        self.recent = Trail::default();
-        self.age = 0;
+    fn set_limit(&mut self, limit: f64) {
+        self.limit = limit.clamp(1.0, self.max_limit);
+        self.recent = RecentWindows::default();
+        self.windows_since_change = 0;
     }
 }
 
-/// Returns the limit while the floor is looked for: at least one slot less.
+/// Returns the limit during a probe: at least one slot less.
 fn probe_target(limit: Slots) -> Slots {
-    let kept = (f64::from(limit.0) * PROBE_KEPT).round() as u32;
+    let kept = (f64::from(limit.0) * PROBE_KEPT_RATIO).round() as u32;
     Slots(kept.min(limit.0 - 1).max(1))
 }
--- a/crates/policy/src/limit/mod.rs
+++ b/crates/policy/src/limit/mod.rs
@@ -1,9 +1,9 @@
-//! How many requests a replica can run at once, learnt from how it answers.
+//! Concurrency limit of a replica, learnt from its latency.
 //!
-//! An engine admits whatever comes. Up to some number of requests each runs as fast as it
-//! does alone; beyond it they only slow each other down. The limit is held a little above
-//! that number: the engine is full, and nobody waits inside it who could wait in a queue
-//! that knows shares and deadlines.
+//! An engine admits every request. Up to some number of requests each runs as fast as alone;
+//! beyond it they only slow each other down. The limit is kept slightly above that number, so
+//! that the engine is saturated while requests wait in the routers' queues, which know shares
+//! and deadlines, and not inside the engine.
 
 mod baseline;
 mod baselines;
@@ -13,4 +13,4 @@
 mod parameters;
 mod window;
 
-pub use self::concurrency::Limit;
+pub use self::concurrency::ConcurrencyLimit;
--- a/crates/policy/src/limit/window.rs
+++ b/crates/policy/src/limit/window.rs
@@ -1,4 +1,4 @@
-//! The samples of one window, averaged.
+//! Averages of the samples in one window.
 
 use crate::{
     Slots,
@@ -6,14 +6,14 @@
     Time, //
 };
 
-/// Sums over the samples since the window began.
+/// Sums of the samples since the start of the window.
 #[derive(Debug, Default, Clone)]
 pub(super) struct Window {
     pub(super) start: Option<Time>,
-    first: Mean,
-    gap: Mean,
+    first_byte: Mean,
+    token_gap: Mean,
     running: Mean,
-    pub(super) refused: bool,
+    pub(super) rejected: bool,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
@@ -25,34 +25,34 @@
 impl Window {
     pub(super) fn push(
         &mut self,
-        first: Option<Span>,
-        gap: Option<Span>,
+        first_byte: Option<Span>,
+        token_gap: Option<Span>,
         running: Slots,
         ok: bool,
     ) {
         self.running.push(f64::from(running.0));
-        self.refused |= !ok;
-        if let Some(s) = first {
-            self.first.push(s.0.max(1) as f64);
+        self.rejected |= !ok;
+        if let Some(s) = first_byte {
+            self.first_byte.push(s.0.max(1) as f64);
         }
-        if let Some(s) = gap {
-            self.gap.push(s.0.max(1) as f64);
+        if let Some(s) = token_gap {
+            self.token_gap.push(s.0.max(1) as f64);
         }
     }
 
     /// Adds the samples of a later window.
     pub(super) fn add(&mut self, later: &Window) {
-        self.first.add(&later.first);
-        self.gap.add(&later.gap);
+        self.first_byte.add(&later.first_byte);
+        self.token_gap.add(&later.token_gap);
         self.running.add(&later.running);
     }
 
-    pub(super) fn first(&self) -> Option<f64> {
-        self.first.get()
+    pub(super) fn first_byte(&self) -> Option<f64> {
+        self.first_byte.get()
     }
 
-    pub(super) fn gap(&self) -> Option<f64> {
-        self.gap.get()
+    pub(super) fn token_gap(&self) -> Option<f64> {
+        self.token_gap.get()
     }
 
     pub(super) fn running(&self) -> f64 {
--- a/crates/policy/src/pool/owned_slots.rs
+++ b/crates/policy/src/pool/owned_slots.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     dispatch::ReplicaLoad,
-    limit::Limit,
+    limit::ConcurrencyLimit,
     service::ReplicaKey,
     Slots,
     Time,
@@ -14,7 +14,7 @@
 pub(crate) struct OwnedSlots {
     pub(crate) key: ReplicaKey,
     pub(crate) zone: Zone,
-    limit: Limit,
+    limit: ConcurrencyLimit,
 }
 
 impl OwnedSlots {
@@ -22,7 +22,7 @@
         OwnedSlots {
             key,
             zone,
-            limit: Limit::new(start),
+            limit: ConcurrencyLimit::new(start),
         }
     }
 
@@ -33,7 +33,7 @@
 
     /// Returns whether it runs fewer requests for a while, to probe its baseline latency.
     pub(crate) fn probing(&self) -> bool {
-        self.limit.probing()
+        self.limit.is_probing()
     }
 
     /// Returns the number of slots that a probe takes.
@@ -47,16 +47,16 @@
         let running = Slots(running);
         self.limit.allow_probe(probe);
         self.limit
-            .sample(load.first_byte, load.token_gap, running, load.ok, now);
+            .record(load.first_byte, load.token_gap, running, load.ok, now);
         if let Some((runs, waits)) = load.self_reported {
-            self.limit.load(runs, waits, now);
+            self.limit.record_load(runs, waits, now);
         }
     }
 
     /// Raises the limit to the one that a previous owner has learnt.
     pub(crate) fn inherit(&mut self, used: u32) {
         if used > self.limit() {
-            self.limit = Limit::new(Slots(used));
+            self.limit = ConcurrencyLimit::new(Slots(used));
         }
     }
 }
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -3,7 +3,7 @@
 use {
     fastrand::Rng,
     policy::{
-        limit::Limit,
+        limit::ConcurrencyLimit,
         Slots,
         Span,
         Time, //
@@ -43,7 +43,7 @@
     }
 
     /// Runs for some seconds; returns the mean of limit and of utilisation.
-    fn run(&mut self, limit: &mut Limit, secs: f64) -> (f64, f64) {
+    fn run(&mut self, limit: &mut ConcurrencyLimit, secs: f64) -> (f64, f64) {
         let steps = (secs / STEP) as u32;
         let (mut limits, mut used) = (0.0, 0.0);
         for _ in 0..steps {
@@ -55,7 +55,7 @@
             let slow = load.max(self.fixed + (1.0 - self.fixed) * load);
             let gap = self.base * slow * (1.0 + self.noise * (self.rng.f64() * 2.0 - 1.0));
             let first = 0.3 * slow * (1.0 + 0.5 * (self.rng.f64() * 2.0 - 1.0));
-            limit.sample(
+            limit.record(
                 Some(Span((first * 1e6) as u64)),
                 Some(Span((gap * 1e6) as u64)),
                 Slots(self.running as u32),
@@ -73,7 +73,7 @@
 fn sample_converges_near_what_the_engine_can_run() {
     for seed in 0..20 {
         for full in [1.0, 4.0, 16.0, 60.0] {
-            let mut limit = Limit::new(Slots(4));
+            let mut limit = ConcurrencyLimit::new(Slots(4));
             let mut e = Engine::new(full, 0.2, seed);
             e.run(&mut limit, 60.0);
             let (mean, used) = e.run(&mut limit, 120.0);
@@ -91,7 +91,7 @@
     // An engine loses half of its cache memory. Its answers take twice as long, as its
     // router goes on giving it all it ran before.
     for seed in 0..20 {
-        let mut limit = Limit::new(Slots(4));
+        let mut limit = ConcurrencyLimit::new(Slots(4));
         let mut e = Engine::new(32.0, 0.2, seed);
         e.run(&mut limit, 60.0);
         e.full = 16.0;
@@ -118,7 +118,7 @@
     // An engine is throttled, so each token takes twice as long whatever runs. A limit that
     // shrinks until the old times come back would end at 1 and leave the engine idle.
     for seed in 0..20 {
-        let mut limit = Limit::new(Slots(4));
+        let mut limit = ConcurrencyLimit::new(Slots(4));
         let mut e = Engine::new(16.0, 0.2, seed);
         e.run(&mut limit, 60.0);
         e.base *= 2.0;
@@ -145,7 +145,7 @@
     // Each request makes the others a little slower long before the engine is full. A limit
     // that stops at the first slowdown would leave most of the engine idle.
     for seed in 0..20 {
-        let mut limit = Limit::new(Slots(4));
+        let mut limit = ConcurrencyLimit::new(Slots(4));
         let mut e = Engine::new(40.0, 0.2, seed);
         e.fixed = 0.6;
         e.run(&mut limit, 180.0);
@@ -160,9 +160,9 @@
 
 #[test]
 fn sample_of_a_refusal() {
-    let mut limit = Limit::new(Slots(10));
+    let mut limit = ConcurrencyLimit::new(Slots(10));
     for i in 0..6 {
-        limit.sample(
+        limit.record(
             None,
             None,
             Slots(10),
@@ -172,7 +172,7 @@
     }
     assert_eq!(limit.get(), Slots(7));
     for i in 0..200 {
-        limit.sample(
+        limit.record(
             None,
             None,
             Slots(1),
@@ -185,7 +185,7 @@
 
 #[test]
 fn sample_leaves_the_limit_while_it_is_not_in_use() {
-    let mut limit = Limit::new(Slots(8));
+    let mut limit = ConcurrencyLimit::new(Slots(8));
     let mut e = Engine::new(16.0, 0.1, 1);
     e.demand = 2.0;
     e.run(&mut limit, 60.0);
@@ -197,27 +197,27 @@
     // Work came back after a pause, and a replica ran one request at a time at first. The
     // last work had ended just as fewer slots were tried; that nothing was seen then was
     // taken for a replica that had become faster, again and again.
-    let mut limit = Limit::new(Slots(8));
+    let mut limit = ConcurrencyLimit::new(Slots(8));
     let mut e = Engine::new(8.0, 0.0, 1);
-    while !limit.probing() {
+    while !limit.is_probing() {
         e.run(&mut limit, STEP);
         assert!(e.now < 600.0, "no look for the floor");
     }
     for i in 1..400 {
         let now = Time(((e.now + STEP * f64::from(i)) * 1e6) as u64);
-        limit.sample(None, None, Slots(0), true, now);
+        limit.record(None, None, Slots(0), true, now);
     }
     assert!(limit.get() >= Slots(8), "{}", limit.get());
 }
 
 #[test]
 fn load_with_requests_that_wait_inside_the_engine() {
-    let mut limit = Limit::new(Slots(40));
-    limit.load(8, 12, Time(0));
+    let mut limit = ConcurrencyLimit::new(Slots(40));
+    limit.record_load(8, 12, Time(0));
     assert_eq!(limit.get(), Slots(20), "all that is inside");
-    limit.load(4, 12, Time(0) + Span::millis(500));
+    limit.record_load(4, 12, Time(0) + Span::millis(500));
     assert_eq!(limit.get(), Slots(20), "the report lags");
-    limit.load(0, 0, Time(0) + Span::secs(5));
+    limit.record_load(0, 0, Time(0) + Span::secs(5));
     assert_eq!(limit.get(), Slots(20));
 }
 
@@ -225,17 +225,17 @@
 fn load_with_requests_before_their_first_token() {
     // A fifth of a pool stood idle while work waited. An engine that admits whatever comes
     // counts a request as waiting until its first token, and the limit was cut to the rest.
-    let mut limit = Limit::new(Slots(8));
+    let mut limit = ConcurrencyLimit::new(Slots(8));
     for s in 0..20 {
-        limit.load(5, 3, Time(0) + Span::secs(s));
-        limit.load(8, 0, Time(0) + Span::secs(s));
+        limit.record_load(5, 3, Time(0) + Span::secs(s));
+        limit.record_load(8, 0, Time(0) + Span::secs(s));
     }
     assert_eq!(limit.get(), Slots(8));
 }
 
 #[test]
 fn capped_holds() {
-    let mut limit = Limit::new(Slots(4)).capped(Slots(6));
+    let mut limit = ConcurrencyLimit::new(Slots(4)).with_max(Slots(6));
     Engine::new(100.0, 0.0, 1).run(&mut limit, 30.0);
     assert_eq!(limit.get(), Slots(6));
 }
--- a/crates/policy/tests/limit_pool.rs
+++ b/crates/policy/tests/limit_pool.rs
@@ -3,7 +3,7 @@
 use {
     fastrand::Rng,
     policy::{
-        limit::Limit,
+        limit::ConcurrencyLimit,
         Slots,
         Span,
         Time, //
@@ -45,7 +45,7 @@
     slow: f64,
     runs: Vec<Request>,
     seen: Vec<Seen>,
-    limit: Limit,
+    limit: ConcurrencyLimit,
     used: f64,
     limits: f64,
 }
@@ -64,7 +64,7 @@
             slow: 1.0,
             runs: Vec::new(),
             seen: vec![Seen::default(); ROUTERS],
-            limit: Limit::new(Slots(FULL as u32)),
+            limit: ConcurrencyLimit::new(Slots(FULL as u32)),
             used: 0.0,
             limits: 0.0,
         }
@@ -118,10 +118,10 @@
         let all = self.seen.iter().map(|s| s.running).sum();
         let mean = |sum: f64, n: u32| (n > 0).then(|| Span((sum / f64::from(n) * 1e6) as u64));
         let (first, gap) = (mean(seen.first, seen.firsts), mean(seen.gap, seen.gaps));
-        self.limit.sample(first, gap, Slots(all), true, now);
+        self.limit.record(first, gap, Slots(all), true, now);
         let waiting = self.runs.iter().filter(|r| r.left == r.tokens).count();
         let begun = self.runs.len() - waiting;
-        self.limit.load(begun as u32, waiting as u32, now);
+        self.limit.record_load(begun as u32, waiting as u32, now);
     }
 }
 
@@ -164,7 +164,7 @@
         self.steps += 1;
         let now = Time((self.steps as f64 * STEP * 1e6) as u64);
         for i in 0..REPLICAS {
-            let probing = self.engines.iter().any(|e| e.limit.probing());
+            let probing = self.engines.iter().any(|e| e.limit.is_probing());
             let e = &mut self.engines[i];
             e.limit.allow_probe(!probing);
             e.step(self.noise, &mut self.rng);
