--- a/crates/policy/src/service/tests.rs
+++ b/crates/policy/src/service/tests.rs
@@ -2,7 +2,7 @@
 use crate::Span;
 
 #[test]
-fn take_while_a_request_still_runs() {
+fn take_load_while_a_request_still_runs() {
     // Guards against samples that cover only ended requests. Their times still reflect the
     // previous limit, which made the limit of a slowed engine oscillate.
     let mut sample = ReplicaSample::default();
--- a/crates/policy/tests/dispatch.rs
+++ b/crates/policy/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Decisions of one router: queues, refusals, starts.
+//! Decisions of one router: queueing, rejection, start and retry of requests.
 
 use {
     policy::{
@@ -97,7 +97,7 @@
         .collect()
 }
 
-fn refused(d: &mut Dispatch) -> Vec<(JobId, Refusal, Span)> {
+fn rejected(d: &mut Dispatch) -> Vec<(JobId, Refusal, Span)> {
     d.take_actions()
         .into_iter()
         .filter_map(|a| match a {
@@ -136,29 +136,29 @@
     }
     assert_eq!(started(&mut d).len(), 1);
     let id = d.submit(job("flood", Time(0)), Time(0));
-    let refused = refused(&mut d);
-    assert_eq!((refused[0].0, refused[0].1), (id, Refusal::QueueFull));
-    assert!(refused[0].2 > Span::ZERO);
+    let rejected = rejected(&mut d);
+    assert_eq!((rejected[0].0, rejected[0].1), (id, Refusal::QueueFull));
+    assert!(rejected[0].2 > Span::ZERO);
 }
 
 #[test]
 fn submit_no_endpoint() {
     let mut d = router(Mode::Alone, 1, &[]);
     d.submit(job("w1", Time(0)), Time(0));
-    assert_eq!(refused(&mut d)[0].1, Refusal::NoEndpoint);
+    assert_eq!(rejected(&mut d)[0].1, Refusal::NoEndpoint);
 }
 
 #[test]
 fn submit_late() {
-    // A broker's request would wait behind more work than its deadline leaves time
-    // for. It is refused at once, with the time after which it would fit.
+    // The queue ahead would take longer than the deadline allows. The request is rejected at once,
+    // with the delay after which it would fit.
     let mut d = router(Mode::Alone, 1, &[("a", "hall-a")]);
     let mut now = Time(0);
     for _ in 0..5 {
         d.submit(job("w1", now), now);
     }
     let mut running = started(&mut d)[0].0;
-    // One leaves each second, so the fourth in line waits about four.
+    // One request leaves per second, so the fourth in line waits about four seconds.
     for _ in 0..2 {
         now += Span::secs(1);
         d.tick(now);
@@ -171,20 +171,20 @@
         ..job("w1", now)
     };
     let id = d.submit(short, now);
-    let refused = refused(&mut d);
-    assert_eq!((refused[0].0, refused[0].1), (id, Refusal::Late));
-    assert!(refused[0].2 >= Span::millis(50) && refused[0].2 <= Span::secs(4));
+    let rejected = rejected(&mut d);
+    assert_eq!((rejected[0].0, rejected[0].1), (id, Refusal::Late));
+    assert!(rejected[0].2 >= Span::millis(50) && rejected[0].2 <= Span::secs(4));
 }
 
 #[test]
-fn tick_refuses_expired() {
+fn tick_rejects_expired() {
     let mut d = router(Mode::Alone, 1, &[("a", "hall-a")]);
     d.submit(job("w1", Time(0)), Time(0));
     let id = d.submit(job("w1", Time(0)), Time(0));
     d.take_actions();
     d.tick(Time(0) + Span::secs(10));
-    let refused = refused(&mut d);
-    assert_eq!((refused[0].0, refused[0].1), (id, Refusal::Expired));
+    let rejected = rejected(&mut d);
+    assert_eq!((rejected[0].0, rejected[0].1), (id, Refusal::Expired));
 }
 
 #[test]
@@ -255,51 +255,49 @@
 
 #[test]
 fn requeue_service_gone() {
-    // A caller waits for ever, and the router never ends. Its request failed at a replica
-    // when operators had just taken the service away, and was to be tried again: nothing
-    // started there any more, and nothing refused it.
+    // Guards against a request without end: its replica failed it after the service was removed
+    // from the configuration, so it was queued where nothing starts or rejects it any more.
     let mut d = router(Mode::Alone, 1, &[("a", "hall-a")]);
     let id = d.submit(job("w1", Time(0)), Time(0));
     let at = started(&mut d)[0].1.clone();
     d.configure(Rules::default(), Time(1));
     d.requeue(id, &at, Time(2));
-    let refused = refused(&mut d);
-    assert_eq!((refused[0].0, refused[0].1), (id, Refusal::NoEndpoint));
+    let rejected = rejected(&mut d);
+    assert_eq!((rejected[0].0, rejected[0].1), (id, Refusal::NoEndpoint));
     assert_eq!(d.running(), 0);
 }
 
 #[test]
 fn requeue_while_leaving() {
-    // A caller of a router that shuts down waits until its deadline. Its request was to be
-    // tried again, in a queue from which nothing started any more.
+    // Guards against a caller that waits until its deadline: its request was queued for a retry at
+    // a router that shuts down, and from that queue nothing starts any more.
     let mut d = router(Mode::Alone, 1, &[("a", "hall-a"), ("b", "hall-a")]);
     let id = d.submit(job("w1", Time(0)), Time(0));
     d.submit(job("w1", Time(0)), Time(0));
     let at = started(&mut d)[0].1.clone();
     d.leave(Time(1));
     d.requeue(id, &at, Time(2));
-    let refused = refused(&mut d);
-    assert_eq!((refused[0].0, refused[0].1), (id, Refusal::Leaving));
+    let rejected = rejected(&mut d);
+    assert_eq!((rejected[0].0, rejected[0].1), (id, Refusal::Leaving));
 }
 
 #[test]
-fn leave_refuses_queued() {
+fn leave_rejects_queued() {
     let mut d = router(Mode::Alone, 1, &[("a", "hall-a")]);
     let runs = d.submit(job("w1", Time(0)), Time(0));
     let queued = d.submit(job("w1", Time(0)), Time(0));
     d.take_actions();
     d.leave(Time(1));
-    let refused = refused(&mut d);
-    assert_eq!(refused.len(), 1);
-    assert_eq!((refused[0].0, refused[0].1), (queued, Refusal::Leaving));
+    let rejected = rejected(&mut d);
+    assert_eq!(rejected.len(), 1);
+    assert_eq!((rejected[0].0, rejected[0].1), (queued, Refusal::Leaving));
     d.finish(runs, DONE, Time(2));
     assert_eq!(d.dump().running, 0);
 }
 
 #[test]
-fn queue_of_its_own() {
-    // Operators give one workspace a short queue, so that its callers are turned away early.
-    // It was checked and had no effect: routers used the service's for everybody.
+fn submit_queue_full_of_one_workspace() {
+    // Guards against a workspace's own queue limit being ignored in favour of the service's.
     let mut d = router(Mode::Alone, 1, &[("a", "hall-a")]);
     let mut rules = rules(Mode::Alone, 1);
     rules.services[0].shares = Arc::new(vec![WorkspaceShare {
@@ -313,7 +311,7 @@
             d.submit(job(workspace, Time(0)), Time(0));
         }
     }
-    let refused = refused(&mut d);
-    assert_eq!(refused.len(), 2, "{refused:?}");
-    assert!(refused.iter().all(|r| r.1 == Refusal::QueueFull));
+    let rejected = rejected(&mut d);
+    assert_eq!(rejected.len(), 2, "{rejected:?}");
+    assert!(rejected.iter().all(|r| r.1 == Refusal::QueueFull));
 }
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A few routers' decisions over a tiny model of messages and replicas.
+//! Simulation of several routers' decisions, with a simple model of network and replicas.
 #![allow(
     dead_code,
     reason = "each test binary uses its own part of this helper"
@@ -43,52 +43,52 @@
 
 pub const TICK: Span = Span::millis(10);
 const ZONES: [&str; 3] = ["hall-a", "hall-b", "hall-c"];
-/// Bytes that a message costs besides itself.
+/// Framing overhead of a message in bytes.
 const FRAME: u64 = 10;
 
-/// What messages between routers go through.
+/// Properties of the network between routers.
 #[derive(Debug, Clone, Copy)]
 pub struct Net {
     pub delay: Span,
-    /// Up to this much more, drawn for each message, so that they overtake each other.
+    /// Maximum additional delay, drawn for each message, which reorders messages.
     pub jitter: Span,
-    /// Lost, in percent.
+    /// Lost messages, in percent.
     pub loss: u8,
-    /// Sent twice, in percent.
-    pub double: u8,
+    /// Duplicated messages, in percent.
+    pub duplicate: u8,
 }
 
 impl Net {
-    /// Nothing is lost, doubled or overtaken.
-    pub const CLEAR: Net = Net {
+    /// A network that loses, duplicates or reorders nothing.
+    pub const RELIABLE: Net = Net {
         delay: Span(1_500),
         jitter: Span::ZERO,
         loss: 0,
-        double: 0,
+        duplicate: 0,
     };
 
-    pub fn clear(&self) -> bool {
-        self.loss == 0 && self.double == 0 && self.jitter == Span::ZERO
+    pub fn is_reliable(&self) -> bool {
+        self.loss == 0 && self.duplicate == 0 && self.jitter == Span::ZERO
     }
 }
 
 pub struct Node {
     pub dispatch: Dispatch,
     pub peer: Peer,
-    /// Requests taken in and not ended.
-    pub open: BTreeMap<JobId, Open>,
-    pub sent: u64,
-    pub taken: u64,
+    /// Requests accepted and not ended.
+    pub open: BTreeMap<JobId, OpenRequest>,
+    pub sent_bytes: u64,
+    pub received_bytes: u64,
     pub messages: u64,
 }
 
-/// A request as its caller knows it.
+/// A request as its caller sees it.
 #[derive(Debug, Clone)]
-pub struct Open {
+pub struct OpenRequest {
     pub workspace: usize,
     pub run: Span,
     pub cost: f64,
-    pub at: Option<(ReplicaId, Time)>,
+    pub started: Option<(ReplicaId, Time)>,
     pub arrived: Time,
     pub deadline: Time,
 }
@@ -98,12 +98,12 @@
     Finish(usize, Incarnation, JobId),
 }
 
-/// How one request ended.
+/// The end of one request.
 #[derive(Debug, Clone)]
 pub struct Ended {
     pub router: usize,
     pub workspace: usize,
-    pub refused: Option<(policy::Refusal, Span)>,
+    pub rejected: Option<(policy::Refusal, Span)>,
     pub waited: Span,
 }
 
@@ -112,36 +112,36 @@
     pub rng: fastrand::Rng,
     pub nodes: Vec<Option<Node>>,
     pub net: Net,
-    /// Routers on the far side of a partition.
-    pub cut: BTreeSet<usize>,
-    /// Whether every router knows the list of replicas as it is.
-    pub told: bool,
+    /// Routers on the other side of a partition.
+    pub partitioned: BTreeSet<usize>,
+    /// Whether every router knows the current list of replicas.
+    pub replicas_current: bool,
     pub rules: Rules,
     pub replicas: Vec<Replica>,
     pub running: BTreeMap<ReplicaId, u32>,
     pub served: Vec<f64>,
     pub ended: Vec<Ended>,
-    /// Requests that died with their router.
+    /// Requests lost with their router.
     pub lost: usize,
     pub starts: u64,
     /// When a request of each workspace last started.
     pub last_start: Vec<Time>,
     incarnations: u64,
     events: BTreeMap<Reverse<(Time, u64)>, Event>,
-    numbers: u64,
+    event_count: u64,
     /// Routers that were killed, as the others still know them.
-    dead: Vec<Option<Peer>>,
+    killed: Vec<Option<Peer>>,
 }
 
-/// Callers that ask again as soon as they have their answer.
-pub struct Load {
-    /// How many each workspace has at each router.
+/// A closed-loop load: each caller submits its next request as soon as it has an answer.
+pub struct ClosedLoopLoad {
+    /// Number of callers by workspace and router.
     pub callers: Vec<Vec<usize>>,
 }
 
-impl Load {
-    /// Asks again for each caller that has its answer.
-    pub fn ask(&self, f: &mut Fleet, run: (u64, u64)) {
+impl ClosedLoopLoad {
+    /// Submits a request for each caller that has its answer.
+    pub fn submit_missing(&self, f: &mut Fleet, run: (u64, u64)) {
         for (w, at) in self.callers.iter().enumerate() {
             for (n, many) in at.iter().enumerate() {
                 let Some(node) = &f.nodes[n] else { continue };
@@ -200,9 +200,9 @@
             now: Time(0),
             rng: fastrand::Rng::with_seed(seed),
             nodes: (0..routers).map(|_| None).collect(),
-            net: Net::CLEAR,
-            cut: BTreeSet::new(),
-            told: true,
+            net: Net::RELIABLE,
+            partitioned: BTreeSet::new(),
+            replicas_current: true,
             rules,
             replicas,
             running: BTreeMap::new(),
@@ -213,23 +213,23 @@
             last_start: vec![Time(0); workspaces],
             incarnations: 0,
             events: BTreeMap::new(),
-            numbers: 0,
-            dead: vec![None; routers],
+            event_count: 0,
+            killed: vec![None; routers],
         };
         for n in 0..routers {
-            fleet.start(n);
+            fleet.start_router(n);
         }
-        fleet.tell_routers();
+        fleet.announce_routers();
         fleet
     }
 
-    /// Starts a router with empty memory.
-    pub fn boot(&mut self, n: usize) {
-        self.start(n);
-        self.tell_routers();
+    /// Starts a router without any state.
+    pub fn restart(&mut self, n: usize) {
+        self.start_router(n);
+        self.announce_routers();
     }
 
-    fn start(&mut self, n: usize) {
+    fn start_router(&mut self, n: usize) {
         self.incarnations += 1;
         let peer = Peer {
             id: format!("r{n}").parse().unwrap(),
@@ -244,26 +244,26 @@
             dispatch,
             peer,
             open: BTreeMap::new(),
-            sent: 0,
-            taken: 0,
+            sent_bytes: 0,
+            received_bytes: 0,
             messages: 0,
         });
-        self.dead[n] = None;
+        self.killed[n] = None;
     }
 
-    /// Kills a router with all that it runs; the others notice when told of it.
+    /// Kills a router with all that it runs; the others detect it by `announce_routers`.
     pub fn kill(&mut self, n: usize) {
         let Some(node) = self.nodes[n].take() else {
             return;
         };
         for open in node.open.into_values() {
-            self.free(&open);
+            self.free_slot(&open);
             self.lost += 1;
         }
-        self.dead[n] = Some(node.peer);
+        self.killed[n] = Some(node.peer);
     }
 
-    /// Lets the oldest request at a router be given up by its caller.
+    /// Cancels the oldest request at a router.
     pub fn cancel(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else {
             return;
@@ -273,12 +273,12 @@
         };
         node.dispatch.cancel(id, self.now);
         self.lost += 1;
-        self.free(&open);
-        self.settle(n);
+        self.free_slot(&open);
+        self.apply_actions(n);
     }
 
-    /// Tells every router which others it hears.
-    pub fn tell_routers(&mut self) {
+    /// Sends every router the list of the others, with those that it can reach.
+    pub fn announce_routers(&mut self) {
         let dead = |p: &Option<Peer>| {
             let state = PeerState::Suspect;
             p.clone().map(|p| Peer { state, ..p })
@@ -286,7 +286,7 @@
         let peers: Vec<Option<Peer>> = self
             .nodes
             .iter()
-            .zip(&self.dead)
+            .zip(&self.killed)
             .map(|(n, d)| n.as_ref().map_or(dead(d), |n| Some(n.peer.clone())))
             .collect();
         for n in 0..self.nodes.len() {
@@ -296,7 +296,7 @@
                 .filter(|(m, _)| *m != n)
                 .filter_map(|(m, p)| {
                     let mut p = p.clone()?;
-                    if self.cut.contains(&m) != self.cut.contains(&n) {
+                    if self.partitioned.contains(&m) != self.partitioned.contains(&n) {
                         p.state = PeerState::Suspect;
                     }
                     Some(p)
@@ -305,45 +305,45 @@
             if let Some(node) = &mut self.nodes[n] {
                 node.dispatch.set_routers(list, self.now);
             }
-            self.settle(n);
+            self.apply_actions(n);
         }
     }
 
-    /// Marks a replica as leaving, or as back; the routers learn it by the list later.
-    pub fn mark(&mut self, n: usize, leaving: bool) {
+    /// Begins or cancels the shutdown of a replica; the routers learn it by `announce_replicas`.
+    pub fn mark_replica(&mut self, n: usize, leaving: bool) {
         self.replicas[n].leaving = leaving;
-        self.told = false;
+        self.replicas_current = false;
     }
 
-    /// Tells every router the list of replicas.
-    pub fn tell_replicas(&mut self) {
+    /// Sends every router the list of replicas.
+    pub fn announce_replicas(&mut self) {
         for n in 0..self.nodes.len() {
             if let Some(node) = &mut self.nodes[n] {
                 let list = self.replicas.clone();
                 node.dispatch.set_replicas(&service(), list, self.now);
             }
-            self.settle(n);
+            self.apply_actions(n);
         }
-        self.told = true;
+        self.replicas_current = true;
     }
 
-    /// Ends a router in order: it takes nothing new in and finishes what runs.
+    /// Shuts a router down gracefully: it accepts no requests and finishes the running ones.
     pub fn leave(&mut self, n: usize) {
         if let Some(node) = &mut self.nodes[n] {
             node.peer.state = PeerState::Leaving;
             node.dispatch.leave(self.now);
         }
-        self.settle(n);
-        self.tell_routers();
+        self.apply_actions(n);
+        self.announce_routers();
     }
 
-    /// Cuts these routers off from the others; none heals the partition.
+    /// Partitions these routers from the others; an empty set ends the partition.
     pub fn partition(&mut self, cut: BTreeSet<usize>) {
-        self.cut = cut;
-        self.tell_routers();
+        self.partitioned = cut;
+        self.announce_routers();
     }
 
-    /// Takes a request in at a router.
+    /// Submits a request at a router.
     pub fn submit(
         &mut self,
         n: usize,
@@ -351,13 +351,13 @@
         run: Span,
         cost: f64,
         hint: f64,
-        window: Span,
+        timeout: Span,
     ) {
         let job = Job {
             service: service(),
             workspace: self::workspace(workspace),
             arrived: self.now,
-            deadline: self.now + window,
+            deadline: self.now + timeout,
             urgency: (self.now.0 / 10_000 % 10) as u8,
             hint: Units(hint),
             share: Share::ONE,
@@ -367,27 +367,27 @@
         let Some(node) = &mut self.nodes[n] else {
             return;
         };
-        let open = Open {
+        let open = OpenRequest {
             workspace,
             run,
             cost,
-            at: None,
+            started: None,
             arrived: self.now,
-            deadline: self.now + window,
+            deadline: self.now + timeout,
         };
         let id = node.dispatch.submit(job, self.now);
         node.open.insert(id, open);
-        self.settle(n);
+        self.apply_actions(n);
     }
 
-    /// Does what a router has decided.
-    pub fn settle(&mut self, n: usize) {
+    /// Applies the actions of a router.
+    pub fn apply_actions(&mut self, n: usize) {
         let Some(node) = &mut self.nodes[n] else {
             return;
         };
         for action in node.dispatch.take_actions() {
             match action {
-                Action::Start { job, replica } => self.begin(n, job, replica),
+                Action::Start { job, replica } => self.start_request(n, job, replica),
                 Action::Reject {
                     job,
                     reason,
@@ -398,29 +398,32 @@
         }
     }
 
-    fn begin(&mut self, n: usize, job: JobId, replica: ReplicaId) {
+    fn start_request(&mut self, n: usize, job: JobId, replica: ReplicaId) {
         let node = self.nodes[n].as_mut().unwrap();
         let inc = node.peer.incarnation;
-        let open = node.open.get_mut(&job).expect("a start of an unknown job");
-        assert!(open.at.is_none(), "a second start of a job");
-        open.at = Some((replica.clone(), self.now));
+        let open = node.open.get_mut(&job).expect("an unknown job was started");
+        assert!(open.started.is_none(), "a job was started twice");
+        open.started = Some((replica.clone(), self.now));
         let done = self.now + open.run;
         *self.running.entry(replica.clone()).or_default() += 1;
         self.starts += 1;
         self.last_start[open.workspace] = self.now;
         let gone = self.replicas.iter().any(|r| r.leaving && r.id == replica);
-        assert!(!gone || !self.told, "a start on a replica that leaves");
+        assert!(
+            !gone || !self.replicas_current,
+            "a request was started on a replica that is shutting down"
+        );
         self.push(done, Event::Finish(n, inc, job));
     }
 
     fn reject(&mut self, n: usize, job: JobId, reason: policy::Refusal, retry_after: Span) {
         let node = self.nodes[n].as_mut().unwrap();
-        let open = node.open.remove(&job).expect("a refusal of an unknown job");
-        assert!(open.at.is_none(), "a refusal of a started job");
+        let open = node.open.remove(&job).expect("an unknown job was rejected");
+        assert!(open.started.is_none(), "a started job was rejected");
         self.ended.push(Ended {
             router: n,
             workspace: open.workspace,
-            refused: Some((reason, retry_after)),
+            rejected: Some((reason, retry_after)),
             waited: self.now.since(open.arrived),
         });
     }
@@ -428,17 +431,19 @@
     fn send(&mut self, n: usize, to: &RouterId, msg: Message) {
         let node = self.nodes[n].as_mut().unwrap();
         let bytes = rmp_serde::to_vec(&msg).unwrap();
-        node.sent += bytes.len() as u64 + FRAME;
+        node.sent_bytes += bytes.len() as u64 + FRAME;
         node.messages += 1;
         let (id, inc) = (node.peer.id.clone(), node.peer.incarnation);
         let m: usize = to.as_str()[1..].parse().unwrap();
-        if self.cut.contains(&m) != self.cut.contains(&n) || self.rng.u8(..100) < self.net.loss {
+        if self.partitioned.contains(&m) != self.partitioned.contains(&n)
+            || self.rng.u8(..100) < self.net.loss
+        {
             return;
         }
         if let Some(to) = &mut self.nodes[m] {
-            to.taken += bytes.len() as u64 + FRAME;
+            to.received_bytes += bytes.len() as u64 + FRAME;
         }
-        let times = if self.rng.u8(..100) < self.net.double {
+        let times = if self.rng.u8(..100) < self.net.duplicate {
             2
         } else {
             1
@@ -452,12 +457,12 @@
     }
 
     fn push(&mut self, at: Time, event: Event) {
-        self.numbers += 1;
-        self.events.insert(Reverse((at, self.numbers)), event);
+        self.event_count += 1;
+        self.events.insert(Reverse((at, self.event_count)), event);
     }
 
-    fn free(&mut self, open: &Open) {
-        if let Some((replica, _)) = &open.at {
+    fn free_slot(&mut self, open: &OpenRequest) {
+        if let Some((replica, _)) = &open.started {
             *self.running.get_mut(replica).unwrap() -= 1;
         }
     }
@@ -478,19 +483,19 @@
             refund: false,
         };
         node.dispatch.finish(job, f, now);
-        let started = open.at.as_ref().unwrap().1;
-        self.free(&open);
+        let started_at = open.started.as_ref().unwrap().1;
+        self.free_slot(&open);
         self.served[open.workspace] += open.cost;
         self.ended.push(Ended {
             router: n,
             workspace: open.workspace,
-            refused: None,
-            waited: started.since(open.arrived),
+            rejected: None,
+            waited: started_at.since(open.arrived),
         });
-        self.settle(n);
+        self.apply_actions(n);
     }
 
-    /// Lets time pass up to the next tick, then ticks every router.
+    /// Advances time to the next tick, and ticks every router.
     pub fn step(&mut self) {
         let end = self.now + TICK;
         while let Some((&Reverse((at, number)), _)) = self.events.last_key_value() {
@@ -505,7 +510,7 @@
                     if let Some(node) = &mut self.nodes[n] {
                         node.dispatch.deliver(&from, inc, msg, at);
                     }
-                    self.settle(n);
+                    self.apply_actions(n);
                 }
             }
         }
@@ -514,28 +519,28 @@
             if let Some(node) = &mut self.nodes[n] {
                 node.dispatch.tick(end);
             }
-            self.settle(n);
+            self.apply_actions(n);
         }
     }
 
-    /// Returns how many requests of a workspace wait.
+    /// Returns the number of queued requests of a workspace.
     pub fn waiting(&self, workspace: usize) -> usize {
         self.nodes
             .iter()
             .flatten()
             .flat_map(|n| n.open.values())
-            .filter(|o| o.workspace == workspace && o.at.is_none())
+            .filter(|o| o.workspace == workspace && o.started.is_none())
             .count()
     }
 
-    /// Returns whether more than a third of the routers vanished and were not yet dropped.
+    /// Returns whether more than a third of the routers were killed and are still listed.
     pub fn many_dead(&self) -> bool {
         let live = self.nodes.iter().flatten().count();
-        let dead = self.dead.iter().flatten().count();
+        let dead = self.killed.iter().flatten().count();
         live * 3 < (live + dead) * 2
     }
 
-    /// Returns the router that lends the slots.
+    /// Returns the owner of the pool.
     pub fn owner(&self) -> usize {
         let first = self.nodes.iter().flatten().next().unwrap();
         let owner = first.dispatch.dump().services[0].owner.clone().unwrap();
@@ -549,12 +554,12 @@
         share.map_or(1.0, |s| s.share.get())
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn busy(&self) -> u32 {
         self.running.values().sum()
     }
 
-    /// Returns how many may run.
+    /// Returns the number of slots.
     pub fn slots(&self) -> u32 {
         let open = self.replicas.iter().filter(|r| !r.leaving).count() as u32;
         open * self.rules.services[0].start.0
--- a/crates/policy/tests/fuzz.rs
+++ b/crates/policy/tests/fuzz.rs
@@ -1,7 +1,7 @@
-//! Fuzzing of several routers' decisions against an oracle that knows the whole.
+//! Fuzzing of several routers' decisions against an oracle that sees the complete fleet.
 //!
 //! `CHERVILWIND_FUZZ_CASES=2000 cargo test --release --test fuzz` runs longer;
-//! `CHERVILWIND_FUZZ_SEED` draws other cases.
+//! `CHERVILWIND_FUZZ_SEED` selects other cases.
 
 mod fleet;
 
@@ -9,8 +9,8 @@
     fleet::{
         oracle::{
             Oracle,
-            COST_MAX,
-            RUN_MAX, //
+            MAX_COST,
+            MAX_RUN, //
         },
         rules,
         Fleet,
@@ -48,140 +48,150 @@
 const CASES: u32 = 24;
 const SEED: u64 = 20;
 
-/// What the tests' world does next.
+/// One step of a test case.
 #[derive(Debug, Clone)]
 enum Step {
     /// Requests of one workspace arrive at one router.
-    Ask {
+    Submit {
         router: usize,
         workspace: usize,
-        many: usize,
+        count: usize,
         run: u64,
         hint: f64,
-        window: u64,
+        timeout_ms: u64,
     },
     /// Time passes, in ticks.
-    Pass(u16),
-    /// A caller hangs up.
+    Advance(u16),
+    /// A caller cancels its request.
     Cancel(usize),
-    /// A router dies; the others notice after some ticks.
+    /// A router crashes; the others detect it after some ticks.
     Kill(usize, u16),
-    /// A router starts, or starts again, with empty memory.
-    Boot(usize),
+    /// A router starts, or restarts, without any state.
+    Start(usize),
     Leave(usize),
-    /// Some routers are cut off; all notice after some ticks.
-    Cut(BTreeSet<usize>, u16),
+    /// Some routers are partitioned from the others; all detect it after some ticks.
+    Partition(BTreeSet<usize>, u16),
     Heal,
-    /// A replica is marked as leaving or as back; routers learn it after some ticks.
-    Mark(usize, bool, u8),
-    Weather {
+    /// A replica begins or cancels its shutdown; the routers learn of it after some ticks.
+    MarkReplica(usize, bool, u8),
+    DegradeNetwork {
         jitter: u64,
         loss: u8,
-        double: u8,
+        duplicate: u8,
     },
-    Clear,
+    RestoreNetwork,
 }
 
-/// What decides which steps make sense.
+/// The state that decides which steps are possible.
 #[derive(Debug, Clone)]
-struct World {
-    up: BTreeSet<usize>,
-    cut: bool,
-    bad: bool,
-    gone: BTreeSet<usize>,
+struct Model {
+    running: BTreeSet<usize>,
+    partitioned: bool,
+    degraded: bool,
+    withdrawn: BTreeSet<usize>,
 }
 
-impl ReferenceStateMachine for World {
-    type State = World;
+impl ReferenceStateMachine for Model {
+    type State = Model;
     type Transition = Step;
 
-    fn init_state() -> BoxedStrategy<World> {
-        let up = (0..ROUTERS).collect();
-        Just(World {
-            up,
-            cut: false,
-            bad: false,
-            gone: BTreeSet::new(),
+    fn init_state() -> BoxedStrategy<Model> {
+        let running = (0..ROUTERS).collect();
+        Just(Model {
+            running,
+            partitioned: false,
+            degraded: false,
+            withdrawn: BTreeSet::new(),
         })
         .boxed()
     }
 
-    fn transitions(_: &World) -> BoxedStrategy<Step> {
-        let ask = (
+    fn transitions(_: &Model) -> BoxedStrategy<Step> {
+        let submit = (
             0..ROUTERS,
             0..WORKSPACES,
             1..40usize,
-            20..RUN_MAX.as_millis(),
+            20..MAX_RUN.as_millis(),
             0.3..3.0,
             prop_oneof![Just(60_000u64), 500..3_000u64],
         )
-            .prop_map(|(router, workspace, many, run, hint, window)| Step::Ask {
-                router,
-                workspace,
-                many,
-                run,
-                hint,
-                window,
-            });
+            .prop_map(
+                |(router, workspace, count, run, hint, timeout_ms)| Step::Submit {
+                    router,
+                    workspace,
+                    count,
+                    run,
+                    hint,
+                    timeout_ms,
+                },
+            );
         prop_oneof![
-            24 => ask,
-            24 => (1..150u16).prop_map(Step::Pass),
-            4 => (700..1200u16).prop_map(Step::Pass),
+            24 => submit,
+            24 => (1..150u16).prop_map(Step::Advance),
+            4 => (700..1200u16).prop_map(Step::Advance),
             2 => (0..ROUTERS).prop_map(Step::Cancel),
             1 => (0..ROUTERS, 0..200u16).prop_map(|(n, t)| Step::Kill(n, t)),
-            2 => (0..ROUTERS).prop_map(Step::Boot),
+            2 => (0..ROUTERS).prop_map(Step::Start),
             1 => (0..ROUTERS).prop_map(Step::Leave),
             1 => (prop::collection::btree_set(0..ROUTERS, 1..ROUTERS), 0..200u16)
-                .prop_map(|(cut, t)| Step::Cut(cut, t)),
+                .prop_map(|(cut, t)| Step::Partition(cut, t)),
             2 => Just(Step::Heal),
-            2 => (0..REPLICAS, any::<bool>(), 0..100u8).prop_map(|(n, l, t)| Step::Mark(n, l, t)),
+            2 => (0..REPLICAS, any::<bool>(), 0..100u8)
+                .prop_map(|(n, l, t)| Step::MarkReplica(n, l, t)),
             1 => (0..20u64, 0..30u8, 0..30u8)
-                .prop_map(|(jitter, loss, double)| Step::Weather { jitter, loss, double }),
-            2 => Just(Step::Clear),
+                .prop_map(|(jitter, loss, duplicate)| Step::DegradeNetwork {
+                    jitter,
+                    loss,
+                    duplicate,
+                }),
+            2 => Just(Step::RestoreNetwork),
         ]
         .boxed()
     }
 
-    fn preconditions(w: &World, step: &Step) -> bool {
+    fn preconditions(model: &Model, step: &Step) -> bool {
         match step {
-            Step::Kill(n, _) | Step::Leave(n) => w.up.contains(n) && w.up.len() > 2,
-            Step::Boot(n) => !w.up.contains(n),
-            Step::Cut(..) => !w.cut,
-            Step::Heal => w.cut,
-            Step::Clear => w.bad,
-            Step::Mark(n, leaving, _) => {
-                w.gone.contains(n) != *leaving && (!leaving || w.gone.len() + 1 < REPLICAS)
+            Step::Kill(n, _) | Step::Leave(n) => {
+                model.running.contains(n) && model.running.len() > 2
+            }
+            Step::Start(n) => !model.running.contains(n),
+            Step::Partition(..) => !model.partitioned,
+            Step::Heal => model.partitioned,
+            Step::RestoreNetwork => model.degraded,
+            Step::MarkReplica(n, leaving, _) => {
+                model.withdrawn.contains(n) != *leaving
+                    && (!leaving || model.withdrawn.len() + 1 < REPLICAS)
             }
             _ => true,
         }
     }
 
-    fn apply(mut w: World, step: &Step) -> World {
+    fn apply(mut model: Model, step: &Step) -> Model {
         match step {
             Step::Kill(n, _) | Step::Leave(n) => {
-                w.up.remove(n);
+                model.running.remove(n);
             }
-            Step::Boot(n) => {
-                w.up.insert(*n);
+            Step::Start(n) => {
+                model.running.insert(*n);
             }
-            Step::Cut(..) => w.cut = true,
-            Step::Heal => w.cut = false,
-            Step::Mark(n, true, _) => {
-                w.gone.insert(*n);
+            Step::Partition(..) => model.partitioned = true,
+            Step::Heal => model.partitioned = false,
+            Step::MarkReplica(n, true, _) => {
+                model.withdrawn.insert(*n);
             }
-            Step::Mark(n, false, _) => {
-                w.gone.remove(n);
+            Step::MarkReplica(n, false, _) => {
+                model.withdrawn.remove(n);
             }
-            Step::Weather { .. } => w.bad = true,
-            Step::Clear => w.bad = false,
+            Step::DegradeNetwork { .. } => model.degraded = true,
+            Step::RestoreNetwork => model.degraded = false,
             _ => {}
         }
-        w
+        model
     }
 }
 
-/// Rules with shares that differ and a window for urgent work.
-fn uneven() -> Rules {
+/// Rules with different shares and an urgency window.
+fn uneven_rules() -> Rules {
     let mut rules = rules(Mode::Fleet, SLOTS);
     let share = |(n, share)| WorkspaceShare {
         workspace: fleet::workspace(n),
@@ -194,41 +204,41 @@
     rules
 }
 
-/// The routers, and who judges them.
-struct Judged {
+/// The routers, and the oracle that checks them.
+struct CheckedFleet {
     fleet: Fleet,
     oracle: Oracle,
-    asked: usize,
+    submitted: usize,
 }
 
-impl Judged {
-    fn pass(&mut self, ticks: u16) {
+impl CheckedFleet {
+    fn advance(&mut self, ticks: u16) {
         for _ in 0..ticks {
             self.fleet.step();
-            if !self.fleet.cut.is_empty() || !self.fleet.net.clear() {
-                self.oracle.fault(self.fleet.now);
+            if !self.fleet.partitioned.is_empty() || !self.fleet.net.is_reliable() {
+                self.oracle.record_fault(self.fleet.now);
             }
-            self.oracle.judge(&self.fleet);
+            self.oracle.check(&self.fleet);
         }
     }
 
-    /// Lets time pass until a fault is noticed.
-    fn unnoticed(&mut self, ticks: u16) {
+    /// Advances time until a fault is detected.
+    fn advance_undetected(&mut self, ticks: u16) {
         for _ in 0..ticks {
-            self.oracle.fault(self.fleet.now);
-            self.pass(1);
+            self.oracle.record_fault(self.fleet.now);
+            self.advance(1);
         }
-        self.fleet.tell_routers();
+        self.fleet.announce_routers();
     }
 
-    fn ask(&mut self, step: Step) {
-        let Step::Ask {
+    fn submit_requests(&mut self, step: Step) {
+        let Step::Submit {
             router,
             workspace,
-            many,
+            count,
             run,
             hint,
-            window,
+            timeout_ms,
         } = step
         else {
             return;
@@ -236,100 +246,103 @@
         if self.fleet.nodes[router].is_none() {
             return;
         }
-        let cost = run as f64 / RUN_MAX.as_millis() as f64 * COST_MAX;
-        for _ in 0..many {
-            self.asked += 1;
+        let cost = run as f64 / MAX_RUN.as_millis() as f64 * MAX_COST;
+        for _ in 0..count {
+            self.submitted += 1;
             self.fleet.submit(
                 router,
                 workspace,
                 Span::millis(run),
                 cost,
                 cost * hint,
-                Span::millis(window),
+                Span::millis(timeout_ms),
             );
         }
     }
 }
 
-struct Routers;
+struct FleetTest;
 
-impl StateMachineTest for Routers {
-    type SystemUnderTest = Judged;
-    type Reference = World;
+impl StateMachineTest for FleetTest {
+    type SystemUnderTest = CheckedFleet;
+    type Reference = Model;
 
-    fn init_test(_: &World) -> Judged {
-        let mut judged = Judged {
-            fleet: Fleet::new(3, ROUTERS, REPLICAS, WORKSPACES, uneven()),
+    fn init_test(_: &Model) -> CheckedFleet {
+        let mut checked = CheckedFleet {
+            fleet: Fleet::new(3, ROUTERS, REPLICAS, WORKSPACES, uneven_rules()),
             oracle: Oracle::default(),
-            asked: 0,
+            submitted: 0,
         };
-        judged.pass(100);
-        judged
+        checked.advance(100);
+        checked
     }
 
-    fn apply(mut s: Judged, _: &World, step: Step) -> Judged {
-        let calm = matches!(step, Step::Ask { .. } | Step::Pass(_) | Step::Cancel(_));
+    fn apply(mut s: CheckedFleet, _: &Model, step: Step) -> CheckedFleet {
+        let faultless = matches!(
+            step,
+            Step::Submit { .. } | Step::Advance(_) | Step::Cancel(_)
+        );
         match step {
-            Step::Ask { .. } => s.ask(step),
-            Step::Pass(ticks) => s.pass(ticks),
+            Step::Submit { .. } => s.submit_requests(step),
+            Step::Advance(ticks) => s.advance(ticks),
             Step::Cancel(n) => s.fleet.cancel(n),
             Step::Kill(n, after) => {
                 s.fleet.kill(n);
-                s.unnoticed(after);
+                s.advance_undetected(after);
             }
-            Step::Boot(n) => {
+            Step::Start(n) => {
                 s.fleet.kill(n);
-                s.fleet.boot(n);
+                s.fleet.restart(n);
             }
             Step::Leave(n) => s.fleet.leave(n),
-            Step::Cut(cut, after) => {
-                s.fleet.cut = cut;
-                s.unnoticed(after);
+            Step::Partition(cut, after) => {
+                s.fleet.partitioned = cut;
+                s.advance_undetected(after);
             }
             Step::Heal => s.fleet.partition(BTreeSet::new()),
-            Step::Mark(n, leaving, after) => {
-                s.fleet.mark(n, leaving);
-                s.oracle.fault(s.fleet.now);
-                s.pass(u16::from(after));
-                s.fleet.tell_replicas();
-                s.oracle.fault(s.fleet.now);
+            Step::MarkReplica(n, leaving, after) => {
+                s.fleet.mark_replica(n, leaving);
+                s.oracle.record_fault(s.fleet.now);
+                s.advance(u16::from(after));
+                s.fleet.announce_replicas();
+                s.oracle.record_fault(s.fleet.now);
                 return s;
             }
-            Step::Weather {
+            Step::DegradeNetwork {
                 jitter,
                 loss,
-                double,
+                duplicate,
             } => {
                 s.fleet.net = Net {
                     delay: Span(1_500),
                     jitter: Span::millis(jitter),
                     loss,
-                    double,
+                    duplicate,
                 }
             }
-            Step::Clear => s.fleet.net = Net::CLEAR,
+            Step::RestoreNetwork => s.fleet.net = Net::RELIABLE,
         }
-        if !calm {
-            s.oracle.fault(s.fleet.now);
+        if !faultless {
+            s.oracle.record_fault(s.fleet.now);
         }
         s
     }
 
-    /// Every request that was taken in has one end.
-    fn teardown(mut s: Judged) {
-        s.fleet.net = Net::CLEAR;
+    /// Checks that each accepted request ends exactly once.
+    fn teardown(mut s: CheckedFleet) {
+        s.fleet.net = Net::RELIABLE;
         s.fleet.partition(BTreeSet::new());
-        s.oracle.fault(s.fleet.now);
+        s.oracle.record_fault(s.fleet.now);
         for _ in 0..70 {
-            s.pass(100);
+            s.advance(100);
         }
-        println!("largest gap {:.2} of the bound", s.oracle.gap);
+        println!("largest gap {:.2} of the bound", s.oracle.largest_gap);
         let open: usize = s.fleet.nodes.iter().flatten().map(|n| n.open.len()).sum();
-        assert_eq!(open, 0, "requests without an end");
+        assert_eq!(open, 0, "requests have not ended");
         assert_eq!(
-            s.asked,
+            s.submitted,
             s.fleet.ended.len() + s.fleet.lost,
-            "requests with two ends"
+            "requests have ended twice"
         );
     }
 }
@@ -339,7 +352,7 @@
 }
 
 #[test]
-fn routers_hold_what_must_hold() {
+fn fleet_invariants_hold_under_faults() {
     let cases = env("CHERVILWIND_FUZZ_CASES").map_or(CASES, |n| n as u32);
     let config = ProptestConfig {
         cases,
@@ -349,9 +362,9 @@
         ..ProptestConfig::default()
     };
     let mut runner = proptest::test_runner::TestRunner::new(config.clone());
-    let strategy = World::sequential_strategy(10..60);
+    let strategy = Model::sequential_strategy(10..60);
     let result = runner.run(&strategy, |(state, steps, seen)| {
-        Routers::test_sequential(config.clone(), state, steps, seen);
+        FleetTest::test_sequential(config.clone(), state, steps, seen);
         Ok(())
     });
     match result {
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -1,7 +1,7 @@
-//! Golden files of whole sessions: what a fleet of four routers does, second by second.
+//! Golden tests of complete sessions: what a fleet of four routers does in each second.
 //!
-//! Each line gives the time, the slots in use of 24, and for each workspace the service it
-//! received in the last second and its requests that wait.
+//! Each line gives the time, the slots in use of 24, and for each workspace the service received
+//! in the last second and, in brackets, its queued requests.
 
 mod fleet;
 
@@ -9,8 +9,8 @@
     expect_test::expect,
     fleet::{
         rules,
+        ClosedLoopLoad, //
         Fleet,
-        Load, //
     },
     policy::Mode,
     std::{
@@ -33,13 +33,13 @@
     f
 }
 
-/// Lets seconds pass under a load, and writes one line for each.
-fn pass(f: &mut Fleet, load: &Load, seconds: u32, out: &mut String) {
+/// Runs a load for some seconds, and writes one line for each.
+fn run_seconds(f: &mut Fleet, load: &ClosedLoopLoad, seconds: u32, out: &mut String) {
     for _ in 0..seconds {
         let before = f.served.clone();
         let mut busy = 0;
         for _ in 0..SECOND {
-            load.ask(f, RUN);
+            load.submit_missing(f, RUN);
             f.step();
             busy += f.busy();
         }
@@ -59,12 +59,12 @@
 
 #[test]
 fn session_flood() {
-    // A franchisee's script sends hundreds of requests through one router. The others,
-    // with a few callers each elsewhere, keep getting their part within the second.
-    // Cause: engines take what comes, so the queue must stand in the routers.
+    // One workspace floods one router with hundreds of requests. The others, with a few callers
+    // at other routers, keep their share within the second. Engines admit every request, so the
+    // requests must queue in the routers.
     let mut f = fleet(4);
     let mut out = String::new();
-    let calm = Load {
+    let calm = ClosedLoopLoad {
         callers: vec![
             vec![0; 4],
             vec![2, 2, 0, 0],
@@ -72,10 +72,10 @@
             vec![0, 0, 0, 8],
         ],
     };
-    pass(&mut f, &calm, 2, &mut out);
+    run_seconds(&mut f, &calm, 2, &mut out);
     let mut flood = calm;
     flood.callers[0] = vec![300, 0, 0, 0];
-    pass(&mut f, &flood, 5, &mut out);
+    run_seconds(&mut f, &flood, 5, &mut out);
     expect![[r#"
         02s 17.3 |  0.0 (0)  7.2 (0) 10.5 (0) 13.8 (0)
         03s 17.3 |  0.0 (0)  6.8 (0) 11.0 (0) 16.1 (0)
@@ -90,14 +90,14 @@
 
 #[test]
 fn session_skewed() {
-    // All callers of one workspace use one router, those of another are spread over all.
-    // With a part of each replica for each router, the second would get four times more.
+    // All callers of one workspace use one router, those of another are spread over all. With a
+    // static share of each replica per router, the second would get four times as much service.
     let mut f = fleet(3);
     let mut out = String::new();
-    let load = Load {
+    let load = ClosedLoopLoad {
         callers: vec![vec![20, 20, 20, 20], vec![0, 80, 0, 0], vec![0, 0, 40, 40]],
     };
-    pass(&mut f, &load, 6, &mut out);
+    run_seconds(&mut f, &load, 6, &mut out);
     expect![[r#"
         02s 24.0 | 14.7 (71) 12.2 (72) 13.2 (72)
         03s 24.0 | 17.2 (71) 16.3 (73) 15.9 (72)
@@ -111,19 +111,19 @@
 
 #[test]
 fn session_partition() {
-    // Two routers are cut off for five seconds and come back. Both sides go on serving with
-    // what they hold, so no slot is used twice; then the counts merge and the workspace that
-    // got less is paid back, while nobody gets nothing.
+    // Two routers are partitioned from the others for five seconds. Both sides keep serving with
+    // the slots that they hold, so no slot is used twice. Then the usage counts merge, and the
+    // workspace that got less catches up while no other is starved.
     let mut f = fleet(3);
     let mut out = String::new();
-    let load = Load {
+    let load = ClosedLoopLoad {
         callers: vec![vec![30, 30, 0, 0], vec![0, 0, 30, 30], vec![15, 15, 15, 15]],
     };
-    pass(&mut f, &load, 3, &mut out);
+    run_seconds(&mut f, &load, 3, &mut out);
     f.partition(BTreeSet::from([2, 3]));
-    pass(&mut f, &load, 5, &mut out);
+    run_seconds(&mut f, &load, 5, &mut out);
     f.partition(BTreeSet::new());
-    pass(&mut f, &load, 5, &mut out);
+    run_seconds(&mut f, &load, 5, &mut out);
     expect![[r#"
         02s 24.0 | 13.7 (52) 14.1 (52) 13.9 (52)
         03s 24.0 | 15.6 (52) 16.3 (53) 16.5 (49)
@@ -144,20 +144,20 @@
 
 #[test]
 fn session_restart_empty() {
-    // The router that lends the slots dies, another takes over from what the rest still
-    // hold, and it comes back with empty memory a second later.
+    // The owner of the slots crashes, another router takes over from what the rest still hold,
+    // and the first one restarts without any state a second later.
     let mut f = fleet(3);
     let mut out = String::new();
-    let load = Load {
+    let load = ClosedLoopLoad {
         callers: vec![vec![20; 4], vec![0, 30, 30, 0], vec![0, 0, 0, 60]],
     };
-    pass(&mut f, &load, 3, &mut out);
+    run_seconds(&mut f, &load, 3, &mut out);
     let owner = f.owner();
     f.kill(owner);
-    f.tell_routers();
-    pass(&mut f, &load, 1, &mut out);
-    f.boot(owner);
-    pass(&mut f, &load, 5, &mut out);
+    f.announce_routers();
+    run_seconds(&mut f, &load, 1, &mut out);
+    f.restart(owner);
+    run_seconds(&mut f, &load, 5, &mut out);
     expect![[r#"
         02s 24.0 | 14.7 (70) 14.7 (53) 11.8 (52)
         03s 24.0 | 16.9 (73) 13.7 (51) 17.4 (52)
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -1,4 +1,4 @@
-//! The learnt limit of a replica, against a model of an engine that batches.
+//! The concurrency limit of a replica against a model of an engine that batches.
 
 use {
     fastrand::Rng,
@@ -10,51 +10,52 @@
     },
 };
 
-/// Requests run this long on average, so what runs falls slowly after a decrease.
-const LIFE: f64 = 8.0;
-/// From one report to the next, in seconds.
-const STEP: f64 = 0.25;
+/// Mean run time in seconds; it bounds how fast the running requests fall after a decrease.
+const RUN_TIME: f64 = 8.0;
+/// Seconds from one report to the next.
+const REPORT_INTERVAL: f64 = 0.25;
 
-/// An engine that runs up to `full` requests at `base` seconds a token.
+/// An engine that runs up to `capacity` requests at `token_time` seconds per token.
 struct Engine {
-    base: f64,
-    full: f64,
+    token_time: f64,
+    capacity: f64,
     noise: f64,
     running: f64,
     demand: f64,
-    /// The part of a step that is the same however few requests run.
-    fixed: f64,
+    /// Part of a batch step's time that doesn't depend on the number of running requests.
+    fixed_part: f64,
     rng: Rng,
     now: f64,
 }
 
 impl Engine {
-    fn new(full: f64, noise: f64, seed: u64) -> Engine {
+    fn new(capacity: f64, noise: f64, seed: u64) -> Engine {
         Engine {
-            base: 0.02,
-            full,
+            token_time: 0.02,
+            capacity,
             noise,
             running: 0.0,
             demand: f64::INFINITY,
-            fixed: 1.0,
+            fixed_part: 1.0,
             rng: Rng::with_seed(seed),
             now: 0.0,
         }
     }
 
-    /// Runs for some seconds; returns the mean of limit and of utilisation.
+    /// Runs for some seconds; returns the means of limit and utilisation.
     fn run(&mut self, limit: &mut ConcurrencyLimit, secs: f64) -> (f64, f64) {
-        let steps = (secs / STEP) as u32;
+        let steps = (secs / REPORT_INTERVAL) as u32;
         let (mut limits, mut used) = (0.0, 0.0);
         for _ in 0..steps {
-            self.now += STEP;
+            self.now += REPORT_INTERVAL;
             let target = f64::from(limit.get().0).min(self.demand);
-            let drained = self.running * (1.0 - STEP / LIFE);
+            let drained = self.running * (1.0 - REPORT_INTERVAL / RUN_TIME);
             self.running = target.max(drained).floor();
-            let load = self.running / self.full;
-            let slow = load.max(self.fixed + (1.0 - self.fixed) * load);
-            let gap = self.base * slow * (1.0 + self.noise * (self.rng.f64() * 2.0 - 1.0));
-            let first = 0.3 * slow * (1.0 + 0.5 * (self.rng.f64() * 2.0 - 1.0));
+            let load = self.running / self.capacity;
+            let slowdown = load.max(self.fixed_part + (1.0 - self.fixed_part) * load);
+            let gap =
+                self.token_time * slowdown * (1.0 + self.noise * (self.rng.f64() * 2.0 - 1.0));
+            let first = 0.3 * slowdown * (1.0 + 0.5 * (self.rng.f64() * 2.0 - 1.0));
             limit.record(
                 Some(Span((first * 1e6) as u64)),
                 Some(Span((gap * 1e6) as u64)),
@@ -63,7 +64,7 @@
                 Time((self.now * 1e6) as u64),
             );
             limits += f64::from(limit.get().0);
-            used += (self.running / self.full).min(1.0);
+            used += (self.running / self.capacity).min(1.0);
         }
         (limits / f64::from(steps), used / f64::from(steps))
     }
@@ -79,7 +80,7 @@
             let (mean, used) = e.run(&mut limit, 120.0);
             println!("full {full} seed {seed}: limit {mean:.1}, utilisation {used:.3}");
             assert!(mean <= full * 1.4 + 2.0, "full {full} seed {seed}: {mean}");
-            // A probe of a small replica takes a fourth of it away.
+            // A probe takes a fourth of a small replica's slots.
             let least = if full < 8.0 { 0.9 } else { 0.97 };
             assert!(used >= least, "full {full} seed {seed}: {used}");
         }
@@ -88,13 +89,13 @@
 
 #[test]
 fn sample_follows_an_engine_that_runs_half_as_many() {
-    // An engine loses half of its cache memory. Its answers take twice as long, as its
-    // router goes on giving it all it ran before.
+    // An engine loses half of its cache memory. Without a lower limit its answers would take twice
+    // as long.
     for seed in 0..20 {
         let mut limit = ConcurrencyLimit::new(Slots(4));
         let mut e = Engine::new(32.0, 0.2, seed);
         e.run(&mut limit, 60.0);
-        e.full = 16.0;
+        e.capacity = 16.0;
         e.run(&mut limit, 30.0);
         let (mean, used) = e.run(&mut limit, 60.0);
         println!("half seed {seed}: limit {mean:.1}, utilisation {used:.3}");
@@ -102,7 +103,7 @@
             mean <= 16.0 * 1.75 && used >= 0.97,
             "seed {seed}: {mean} {used}"
         );
-        e.full = 32.0;
+        e.capacity = 32.0;
         e.run(&mut limit, 30.0);
         let (mean, used) = e.run(&mut limit, 60.0);
         println!("whole seed {seed}: limit {mean:.1}, utilisation {used:.3}");
@@ -115,13 +116,13 @@
 
 #[test]
 fn sample_does_not_collapse_when_every_token_is_slower() {
-    // An engine is throttled, so each token takes twice as long whatever runs. A limit that
-    // shrinks until the old times come back would end at 1 and leave the engine idle.
+    // A throttled engine takes twice as long for each token at any load. A limit that shrinks until
+    // the old latency returns would end at 1 and leave the engine idle.
     for seed in 0..20 {
         let mut limit = ConcurrencyLimit::new(Slots(4));
         let mut e = Engine::new(16.0, 0.2, seed);
         e.run(&mut limit, 60.0);
-        e.base *= 2.0;
+        e.token_time *= 2.0;
         e.run(&mut limit, 30.0);
         let (mean, used) = e.run(&mut limit, 60.0);
         println!("slow seed {seed}: limit {mean:.1}, utilisation {used:.3}");
@@ -129,7 +130,7 @@
             mean <= 16.0 * 1.75 && used >= 0.97,
             "seed {seed}: {mean} {used}"
         );
-        e.base /= 2.0;
+        e.token_time /= 2.0;
         e.run(&mut limit, 30.0);
         let (mean, used) = e.run(&mut limit, 60.0);
         println!("back seed {seed}: limit {mean:.1}, utilisation {used:.3}");
@@ -142,12 +143,12 @@
 
 #[test]
 fn sample_of_an_engine_whose_steps_grow_with_its_batch() {
-    // Each request makes the others a little slower long before the engine is full. A limit
-    // that stops at the first slowdown would leave most of the engine idle.
+    // Each request slows the others a little long before the engine is saturated. A limit that
+    // stops at the first slowdown would leave most of the engine idle.
     for seed in 0..20 {
         let mut limit = ConcurrencyLimit::new(Slots(4));
         let mut e = Engine::new(40.0, 0.2, seed);
-        e.fixed = 0.6;
+        e.fixed_part = 0.6;
         e.run(&mut limit, 180.0);
         let (mean, used) = e.run(&mut limit, 120.0);
         println!("grow seed {seed}: limit {mean:.1}, utilisation {used:.3}");
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn sample_of_a_refusal() {
+fn sample_of_a_rejection() {
     let mut limit = ConcurrencyLimit::new(Slots(10));
     for i in 0..6 {
         limit.record(
@@ -193,18 +194,17 @@
 }
 
 #[test]
-fn sample_when_the_load_ends_during_a_look_for_the_floor() {
-    // Work came back after a pause, and a replica ran one request at a time at first. The
-    // last work had ended just as fewer slots were tried; that nothing was seen then was
-    // taken for a replica that had become faster, again and again.
+fn sample_when_the_load_ends_during_a_probe() {
+    // Guards against a limit that falls to 1 while a replica is idle: a probe that saw no requests,
+    // as the load had just ended, was taken for a replica that had become faster, repeatedly.
     let mut limit = ConcurrencyLimit::new(Slots(8));
     let mut e = Engine::new(8.0, 0.0, 1);
     while !limit.is_probing() {
-        e.run(&mut limit, STEP);
+        e.run(&mut limit, REPORT_INTERVAL);
         assert!(e.now < 600.0, "no look for the floor");
     }
     for i in 1..400 {
-        let now = Time(((e.now + STEP * f64::from(i)) * 1e6) as u64);
+        let now = Time(((e.now + REPORT_INTERVAL * f64::from(i)) * 1e6) as u64);
         limit.record(None, None, Slots(0), true, now);
     }
     assert!(limit.get() >= Slots(8), "{}", limit.get());
@@ -223,8 +223,9 @@
 
 #[test]
 fn load_with_requests_before_their_first_token() {
-    // A fifth of a pool stood idle while work waited. An engine that admits whatever comes
-    // counts a request as waiting until its first token, and the limit was cut to the rest.
+    // Guards against idle slots (a fifth of a pool) while requests are queued: an engine that
+    // admits every request counts it as waiting until its first token, and the limit was cut to
+    // the rest.
     let mut limit = ConcurrencyLimit::new(Slots(8));
     for s in 0..20 {
         limit.record_load(5, 3, Time(0) + Span::secs(s));
@@ -234,7 +235,7 @@
 }
 
 #[test]
-fn capped_holds() {
+fn with_max_bounds_the_limit() {
     let mut limit = ConcurrencyLimit::new(Slots(4)).with_max(Slots(6));
     Engine::new(100.0, 0.0, 1).run(&mut limit, 30.0);
     assert_eq!(limit.get(), Slots(6));
--- a/crates/policy/tests/limit_pool.rs
+++ b/crates/policy/tests/limit_pool.rs
@@ -1,4 +1,4 @@
-//! The learnt limits of a pool that is backlogged all the time, told as routers tell them.
+//! Concurrency limits of a constantly backlogged pool, with samples as routers report them.
 
 use {
     fastrand::Rng,
@@ -13,41 +13,41 @@
 const STEP: f64 = 0.01;
 const REPLICAS: usize = 10;
 const ROUTERS: usize = 8;
-/// What an engine runs at full speed.
-const FULL: f64 = 8.0;
-/// Seconds to a first token and between tokens, of a request that runs alone.
-const FIRST: f64 = 0.05;
-const GAP: f64 = 0.04;
+/// Number of requests that an engine runs at full speed.
+const CAPACITY: f64 = 8.0;
+/// Times to the first token and between tokens of a request that runs alone.
+const FIRST_TOKEN_SECS: f64 = 0.05;
+const TOKEN_GAP_SECS: f64 = 0.04;
 
 struct Request {
     router: usize,
     tokens: u32,
-    left: u32,
-    /// Until its next token.
-    wait: f64,
-    /// Since its last token.
-    age: f64,
+    remaining: u32,
+    /// Seconds until its next token.
+    next_token: f64,
+    /// Seconds since its last token.
+    token_age: f64,
 }
 
-/// What a router has seen of a replica since its last report.
+/// What a router has observed of a replica since its last report.
 #[derive(Default, Clone)]
-struct Seen {
-    first: f64,
-    gap: f64,
-    gaps: u32,
-    firsts: u32,
-    /// As its last report said.
+struct Observed {
+    first_sum: f64,
+    gap_sum: f64,
+    gap_count: u32,
+    first_count: u32,
+    /// Running requests, by its last report.
     running: u32,
 }
 
 struct Engine {
-    full: f64,
-    slow: f64,
-    runs: Vec<Request>,
-    seen: Vec<Seen>,
+    capacity: f64,
+    slowdown: f64,
+    requests: Vec<Request>,
+    observed: Vec<Observed>,
     limit: ConcurrencyLimit,
-    used: f64,
-    limits: f64,
+    utilisation: f64,
+    limit_sum: f64,
 }
 
 struct Pool {
@@ -60,67 +60,74 @@
 impl Engine {
     fn new() -> Engine {
         Engine {
-            full: FULL,
-            slow: 1.0,
-            runs: Vec::new(),
-            seen: vec![Seen::default(); ROUTERS],
-            limit: ConcurrencyLimit::new(Slots(FULL as u32)),
-            used: 0.0,
-            limits: 0.0,
+            capacity: CAPACITY,
+            slowdown: 1.0,
+            requests: Vec::new(),
+            observed: vec![Observed::default(); ROUTERS],
+            limit: ConcurrencyLimit::new(Slots(CAPACITY as u32)),
+            utilisation: 0.0,
+            limit_sum: 0.0,
         }
     }
 
-    /// Time that the next token takes, as a multiple of what it takes alone.
+    /// Returns the time to the next token as a multiple of that of a request that runs alone.
     fn stretch(&self, noise: f64, rng: &mut Rng) -> f64 {
-        let batch = (self.runs.len() as f64 / self.full).max(1.0);
-        self.slow * batch * (1.0 + noise * (rng.f64() * 2.0 - 1.0))
+        let batch = (self.requests.len() as f64 / self.capacity).max(1.0);
+        self.slowdown * batch * (1.0 + noise * (rng.f64() * 2.0 - 1.0))
     }
 
     fn step(&mut self, noise: f64, rng: &mut Rng) {
-        while self.runs.len() < self.limit.get().0 as usize {
+        while self.requests.len() < self.limit.get().0 as usize {
             let tokens = rng.u32(16..=64);
-            self.runs.push(Request {
+            self.requests.push(Request {
                 router: rng.usize(..ROUTERS),
                 tokens,
-                left: tokens,
-                wait: FIRST * self.stretch(noise, rng),
-                age: 0.0,
+                remaining: tokens,
+                next_token: FIRST_TOKEN_SECS * self.stretch(noise, rng),
+                token_age: 0.0,
             });
         }
         let stretch = self.stretch(noise, rng);
-        for r in &mut self.runs {
-            r.age += STEP;
-            r.wait -= STEP;
-            if r.wait > 0.0 {
+        for r in &mut self.requests {
+            r.token_age += STEP;
+            r.next_token -= STEP;
+            if r.next_token > 0.0 {
                 continue;
             }
-            let seen = &mut self.seen[r.router];
-            if r.left == r.tokens {
-                seen.first += r.age;
-                seen.firsts += 1;
+            let observed = &mut self.observed[r.router];
+            if r.remaining == r.tokens {
+                observed.first_sum += r.token_age;
+                observed.first_count += 1;
             } else {
-                seen.gap += r.age;
-                seen.gaps += 1;
+                observed.gap_sum += r.token_age;
+                observed.gap_count += 1;
             }
-            r.age = 0.0;
-            r.left -= 1;
-            r.wait += GAP * stretch;
+            r.token_age = 0.0;
+            r.remaining -= 1;
+            r.next_token += TOKEN_GAP_SECS * stretch;
         }
-        self.used += (self.runs.len() as f64).min(self.full) / self.full;
-        self.limits += f64::from(self.limit.get().0);
-        self.runs.retain(|r| r.left > 0);
+        self.utilisation += (self.requests.len() as f64).min(self.capacity) / self.capacity;
+        self.limit_sum += f64::from(self.limit.get().0);
+        self.requests.retain(|r| r.remaining > 0);
     }
 
     fn report(&mut self, router: usize, now: Time) {
-        let running = self.runs.iter().filter(|r| r.router == router).count();
-        let seen = std::mem::take(&mut self.seen[router]);
-        self.seen[router].running = running as u32;
-        let all = self.seen.iter().map(|s| s.running).sum();
+        let running = self.requests.iter().filter(|r| r.router == router).count();
+        let observed = std::mem::take(&mut self.observed[router]);
+        self.observed[router].running = running as u32;
+        let all = self.observed.iter().map(|s| s.running).sum();
         let mean = |sum: f64, n: u32| (n > 0).then(|| Span((sum / f64::from(n) * 1e6) as u64));
-        let (first, gap) = (mean(seen.first, seen.firsts), mean(seen.gap, seen.gaps));
+        let (first, gap) = (
+            mean(observed.first_sum, observed.first_count),
+            mean(observed.gap_sum, observed.gap_count),
+        );
         self.limit.record(first, gap, Slots(all), true, now);
-        let waiting = self.runs.iter().filter(|r| r.left == r.tokens).count();
-        let begun = self.runs.len() - waiting;
+        let waiting = self
+            .requests
+            .iter()
+            .filter(|r| r.remaining == r.tokens)
+            .count();
+        let begun = self.requests.len() - waiting;
         self.limit.record_load(begun as u32, waiting as u32, now);
     }
 }
@@ -135,14 +142,14 @@
         }
     }
 
-    /// Runs for some seconds; returns the mean utilisation of the pool, the least of any
-    /// two seconds, and the mean limit.
+    /// Runs for some seconds; returns the mean utilisation of the pool, the lowest in any two
+    /// seconds, and the mean limit.
     fn run(&mut self, secs: u32) -> (f64, f64, f64) {
         let (mut all, mut least, mut limits) = (0.0, 1.0_f64, 0.0);
         for _ in 0..secs / 2 {
             self.engines
                 .iter_mut()
-                .for_each(|e| (e.used, e.limits) = (0.0, 0.0));
+                .for_each(|e| (e.utilisation, e.limit_sum) = (0.0, 0.0));
             let steps = (2.0 / STEP) as u64;
             for _ in 0..steps {
                 self.step();
@@ -151,10 +158,10 @@
                 let sum: f64 = self.engines.iter().map(pick).sum();
                 sum / (steps as f64 * REPLICAS as f64)
             };
-            let used = mean(|e| e.used);
+            let used = mean(|e| e.utilisation);
             all += used;
             least = least.min(used);
-            limits += mean(|e| e.limits);
+            limits += mean(|e| e.limit_sum);
         }
         let n = f64::from(secs / 2);
         (all / n, least, limits / n)
@@ -179,9 +186,9 @@
 
 #[test]
 fn sample_keeps_a_backlogged_pool_used() {
-    // Importers wait in every router's queue while a fifth of the engines' slots stand
-    // idle. Requests before their first token were taken for a queue inside the engine, and
-    // all replicas looked for their floor at the same moment, each by a fourth of its slots.
+    // Guards against a fifth of the engines' slots being idle while requests are queued at every
+    // router: requests before their first token counted as a queue inside the engine, and all
+    // replicas probed their baselines at the same time, each with a fourth of its slots.
     for seed in 0..5 {
         for noise in [0.0, 0.2] {
             let mut pool = Pool::new(noise, seed);
@@ -196,8 +203,8 @@
     }
 }
 
-/// Returns utilisation, its least and the mean limit of one engine after a fault, among nine
-/// that are well.
+/// Returns the mean and the lowest utilisation of the pool, and the mean limit of the one engine
+/// of ten that has a fault.
 fn after_fault(seed: u64, fault: fn(&mut Engine)) -> (f64, f64, f64) {
     let mut pool = Pool::new(0.2, seed);
     pool.run(60);
@@ -208,21 +215,21 @@
         let (used, low, _) = pool.run(2);
         all += used;
         least = least.min(low);
-        limits += pool.engines[0].limits * STEP / 2.0;
+        limits += pool.engines[0].limit_sum * STEP / 2.0;
     }
     (all / 20.0, least, limits / 20.0)
 }
 
 #[test]
 fn sample_follows_one_slow_engine_of_a_pool() {
-    // One engine of ten is throttled or loses half of its memory. The pool stays used, and
-    // the engine is neither left idle nor given twice what it can run.
+    // One engine of ten is throttled or loses half of its memory. The pool stays in use, and the
+    // engine neither idles nor gets twice as many requests as it can run.
     for seed in 0..5 {
-        let (used, low, limit) = after_fault(seed, |e| e.slow = 2.0);
+        let (used, low, limit) = after_fault(seed, |e| e.slowdown = 2.0);
         println!("slow seed {seed}: {used:.3} least {low:.3} limit {limit:.1}");
         assert!(used >= 0.98 && low >= 0.95, "seed {seed}: {used} {low}");
         assert!(limit <= 11.0, "seed {seed}: {limit}");
-        let (used, low, limit) = after_fault(seed, |e| e.full = 4.0);
+        let (used, low, limit) = after_fault(seed, |e| e.capacity = 4.0);
         println!("half seed {seed}: {used:.3} least {low:.3} limit {limit:.1}");
         assert!(used >= 0.98 && low >= 0.95, "seed {seed}: {used} {low}");
         assert!((3.5..=6.5).contains(&limit), "seed {seed}: {limit}");
--- a/crates/policy/tests/measure.rs
+++ b/crates/policy/tests/measure.rs
@@ -1,12 +1,13 @@
-//! Figures of the decisions alone, for tuning: `cargo test --test measure -- --ignored --nocapture`.
+//! Prints performance figures of the dispatcher alone:
+//! `cargo test --test measure -- --ignored --nocapture`.
 
 mod fleet;
 
 use {
     fleet::{
         rules,
+        ClosedLoopLoad,
         Fleet,
-        Load,
         Node, //
     },
     policy::{
@@ -16,7 +17,7 @@
     },
 };
 
-/// What is measured, and at what size.
+/// Size of a measured fleet.
 #[derive(Debug, Clone, Copy)]
 struct Size {
     routers: usize,
@@ -24,35 +25,35 @@
     workspaces: usize,
 }
 
-const TODAY: Size = Size {
+const BASE_SIZE: Size = Size {
     routers: 8,
     replicas: 10,
     workspaces: 16,
 };
 const SLOTS: u32 = 8;
-const WARM: u64 = 200;
+const WARMUP_STEPS: u64 = 200;
 
-/// A few large workspaces at three routers each, many small ones at one to three.
-fn skewed(size: Size) -> Load {
+/// Load of a few large workspaces at three routers each, and many small ones at one to three.
+fn skewed(size: Size) -> ClosedLoopLoad {
     let mut rng = fastrand::Rng::with_seed(5);
     let callers = (0..size.workspaces)
         .map(|w| {
             let mut at = vec![0; size.routers];
             let large = w < size.workspaces / 4;
             let many = if large { 60 } else { 6 + w % 16 };
-            let homes = if large { 3 } else { 1 + w % 3 };
+            let spread = if large { 3 } else { 1 + w % 3 };
             for _ in 0..many {
-                at[(w * 3 + rng.usize(..homes)) % size.routers] += 1;
+                at[(w * 3 + rng.usize(..spread)) % size.routers] += 1;
             }
             at
         })
         .collect();
-    Load { callers }
+    ClosedLoopLoad { callers }
 }
 
-/// Bytes that the busiest router sends and takes in a second, and its messages.
+/// Returns the bytes and messages per second of the busiest router, sent and received.
 fn traffic(f: &Fleet, secs: u64) -> (u64, u64) {
-    let bytes = |n: &Node| n.sent + n.taken;
+    let bytes = |n: &Node| n.sent_bytes + n.received_bytes;
     let nodes = || f.nodes.iter().flatten();
     let most = nodes().map(bytes).max().unwrap();
     (
@@ -74,9 +75,9 @@
     let mut span: Vec<(f64, f64)> = vec![(f64::MAX, f64::MIN); n * n];
     let (mut busy, mut slots) = (0u64, 0u64);
     for step in 0..secs * 100 {
-        load.ask(&mut f, ms);
+        load.submit_missing(&mut f, ms);
         f.step();
-        if step < WARM {
+        if step < WARMUP_STEPS {
             continue;
         }
         busy += u64::from(f.busy());
@@ -101,7 +102,7 @@
 fn measure_modes() {
     for ms in [(200, 800), (20, 60), (1000, 5000)] {
         for mode in [Mode::Static, Mode::Alone, Mode::Fleet] {
-            run(TODAY, mode, ms, 30);
+            run(BASE_SIZE, mode, ms, 30);
         }
     }
 }
@@ -111,13 +112,21 @@
 fn measure_sizes() {
     let ms = (200, 800);
     for routers in [4, 8, 14, 28] {
-        run(Size { routers, ..TODAY }, Mode::Fleet, ms, 15);
+        run(
+            Size {
+                routers,
+                ..BASE_SIZE
+            },
+            Mode::Fleet,
+            ms,
+            15,
+        );
     }
     for workspaces in [64, 256] {
         run(
             Size {
                 workspaces,
-                ..TODAY
+                ..BASE_SIZE
             },
             Mode::Fleet,
             ms,
@@ -125,25 +134,39 @@
         );
     }
     for replicas in [20, 60] {
-        run(Size { replicas, ..TODAY }, Mode::Fleet, ms, 15);
+        run(
+            Size {
+                replicas,
+                ..BASE_SIZE
+            },
+            Mode::Fleet,
+            ms,
+            15,
+        );
     }
 }
 
-/// Requests that arrive one by one at half of what the replicas can do.
+/// Open loop: requests arrive at random times, at a rate below the capacity.
 #[test]
 #[ignore = "prints figures, proves nothing"]
-fn measure_calm() {
-    for (part, ms) in [(0.3, 400), (0.7, 400), (0.95, 400), (0.7, 40)] {
+fn measure_below_capacity() {
+    for (load, ms) in [(0.3, 400), (0.7, 400), (0.95, 400), (0.7, 40)] {
         for mode in [Mode::Static, Mode::Fleet] {
-            let mut f = Fleet::new(1, TODAY.routers, TODAY.replicas, 16, rules(mode, SLOTS));
-            let rate = f64::from(f.slots()) / (ms as f64 / 1000.0) * part;
+            let mut f = Fleet::new(
+                1,
+                BASE_SIZE.routers,
+                BASE_SIZE.replicas,
+                16,
+                rules(mode, SLOTS),
+            );
+            let rate = f64::from(f.slots()) / (ms as f64 / 1000.0) * load;
             let secs = 20;
             let mut due = Time(0) + Span::secs(1);
             while f.now < Time(0) + Span::secs(secs) {
                 f.step();
                 while due < f.now {
                     due += Span((-f.rng.f64().max(1e-9).ln() / rate * 1e6) as u64);
-                    // Two of three callers use the first three routers.
+                    // Two of three requests arrive at the first three routers.
                     let at = if f.rng.u8(..3) < 2 {
                         f.rng.usize(..3)
                     } else {
@@ -158,7 +181,7 @@
             let at = |p: f64| waits[((waits.len() - 1) as f64 * p) as usize];
             let (bytes, messages) = traffic(&f, secs);
             println!(
-                "{part} {ms} {mode:?}: wait p50 {} p95 {} p99 {} ms, {bytes} B/s {messages} sent/s",
+                "{load} {ms} {mode:?}: wait p50 {} p95 {} p99 {} ms, {bytes} B/s {messages} sent/s",
                 at(0.5),
                 at(0.95),
                 at(0.99)
--- a/crates/policy/tests/requeue.rs
+++ b/crates/policy/tests/requeue.rs
@@ -1,4 +1,4 @@
-//! Requests that are tried again, in a fleet of several routers.
+//! Retries of requests in a fleet of several routers.
 
 mod fleet;
 
@@ -17,53 +17,52 @@
 };
 
 const ROUTERS: usize = 3;
-const RUN: Span = Span::secs(60);
+const RUN_TIME: Span = Span::secs(60);
 
-fn ready() -> Fleet {
+fn settled_fleet() -> Fleet {
     let mut f = Fleet::new(1, ROUTERS, 2, 1, rules(Mode::Fleet, 8));
-    pass(&mut f, 200);
+    advance(&mut f, 200);
     f
 }
 
-fn pass(f: &mut Fleet, ticks: u32) {
+fn advance(f: &mut Fleet, ticks: u32) {
     (0..ticks).for_each(|_| f.step());
 }
 
-/// Returns the one request at a router, and where it runs.
-fn runs(f: &Fleet, n: usize) -> Option<(JobId, ReplicaId)> {
+/// Returns the only request at a router, and its replica.
+fn open_request(f: &Fleet, n: usize) -> Option<(JobId, ReplicaId)> {
     let (id, open) = f.nodes[n].as_ref().unwrap().open.iter().next()?;
-    Some((*id, open.at.clone()?.0))
+    Some((*id, open.started.clone()?.0))
 }
 
-/// Lets the endpoint fail the request, and the router try it again.
-fn fail(f: &mut Fleet, n: usize, id: JobId, at: &ReplicaId) {
+/// Fails the request at its endpoint, and lets the router retry it.
+fn fail_and_requeue(f: &mut Fleet, n: usize, id: JobId, at: &ReplicaId) {
     *f.running.get_mut(at).unwrap() -= 1;
     let node = f.nodes[n].as_mut().unwrap();
-    node.open.get_mut(&id).unwrap().at = None;
+    node.open.get_mut(&id).unwrap().started = None;
     node.dispatch.requeue(id, at, f.now);
-    f.settle(n);
+    f.apply_actions(n);
 }
 
-// A lookup fails at one endpoint, is queued again, and waits for its whole deadline in an
-// idle fleet. Cause: its router holds one slot, of the endpoint that the retry keeps away
-// from, and the owner takes that slot for all that the router needs.
+// Guards against a retry that waits until its deadline in an idle fleet: its router held one
+// slot, on the replica that the retry avoids, and the owner counted that slot as sufficient.
 #[test]
 fn requeue_starts_elsewhere() {
     for n in 0..ROUTERS {
-        let mut f = ready();
+        let mut f = settled_fleet();
         for _ in 0..4 {
-            f.submit(n, 0, RUN, 1.0, 1.0, Span::secs(100));
-            pass(&mut f, 100);
-            let (id, first) = runs(&f, n).expect("it starts in an idle fleet");
-            fail(&mut f, n, id, &first);
-            pass(&mut f, 100);
-            let (id, second) = runs(&f, n).expect("it starts again elsewhere");
+            f.submit(n, 0, RUN_TIME, 1.0, 1.0, Span::secs(100));
+            advance(&mut f, 100);
+            let (id, first) = open_request(&f, n).expect("it starts in an idle fleet");
+            fail_and_requeue(&mut f, n, id, &first);
+            advance(&mut f, 100);
+            let (id, second) = open_request(&f, n).expect("it starts again elsewhere");
             assert_ne!(first, second);
             let node = f.nodes[n].as_mut().unwrap();
             node.open.remove(&id);
             node.dispatch.finish(id, Completion::default(), f.now);
             *f.running.get_mut(&second).unwrap() -= 1;
-            f.settle(n);
+            f.apply_actions(n);
         }
     }
 }
