--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -160,8 +160,8 @@
         let service = job.service.clone();
         let known = self.services.contains_key(&service);
         if self.leaving || !known {
-            let why = self.closed_reason();
-            return self.reject_new(job, why);
+            let reason = self.closed_reason();
+            return self.reject_new(job, reason);
         }
         let state = self
             .services
--- a/crates/policy/src/pool/owner.rs
+++ b/crates/policy/src/pool/owner.rs
@@ -52,9 +52,9 @@
 /// Rate at which an owner may send grants, and the size of a burst.
 const GRANT_BYTES_PER_SEC: f64 = 8_000.0;
 const GRANT_BURST_BYTES: f64 = 3_000.0;
-/// A probe that takes at most 1/50 of the pool's slots may run at any time.
+/// A probe may run at any time if it takes at most one in this number of the pool's slots.
 const PROBE_DIVISOR: u32 = 50;
-/// Minimum interval between two probes that take more.
+/// Minimum time from the last probe to one that takes more, while the pool is contended.
 const LARGE_PROBE_INTERVAL: Span = Span::secs(120);
 /// Maximum lead of a workspace, in multiples of the cost of requests on all slots.
 const DEBT_FACTOR: f64 = 2.0;
--- a/crates/policy/src/pool/rebalance.rs
+++ b/crates/policy/src/pool/rebalance.rs
@@ -9,8 +9,8 @@
     crate::RouterId,
 };
 
-/// If there are more queues than slots, one plan moves at most 1/20 of the slots: virtual times
-/// cross all the time, and a slot is idle while it moves.
+/// If there are more queues than slots, one plan moves at most one in this number of slots:
+/// virtual times cross all the time, and a slot is idle while it moves.
 const MOVE_DIVISOR: u32 = 20;
 
 impl Pool {
--- a/crates/policy/src/pool/targets.rs
+++ b/crates/policy/src/pool/targets.rs
@@ -114,15 +114,15 @@
     let mut out: SlotTargets = BTreeMap::new();
     let mut remainders: Vec<(f64, &RouterId)> = Vec::new();
     for (id, target, current) in exact {
-        let whole = target.floor();
-        let bonus = if f64::from(current) > whole {
+        let integer = target.floor();
+        let bonus = if f64::from(current) > integer {
             ROUNDING_HYSTERESIS
         } else {
             0.0
         };
-        out.insert(id.clone(), whole as u32);
-        if target > whole {
-            remainders.push((target - whole + bonus, id));
+        out.insert(id.clone(), integer as u32);
+        if target > integer {
+            remainders.push((target - integer + bonus, id));
         }
     }
     let assigned: u32 = out.values().sum();
--- a/crates/policy/tests/fleet/mod.rs
+++ b/crates/policy/tests/fleet/mod.rs
@@ -408,9 +408,9 @@
         *self.running.entry(replica.clone()).or_default() += 1;
         self.starts += 1;
         self.last_start[open.workspace] = self.now;
-        let gone = self.replicas.iter().any(|r| r.leaving && r.id == replica);
+        let withdrawn = self.replicas.iter().any(|r| r.leaving && r.id == replica);
         assert!(
-            !gone || !self.replicas_current,
+            !withdrawn || !self.replicas_current,
             "a request was started on a replica that is shutting down"
         );
         self.push(done, Event::Finish(n, inc, job));
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -64,7 +64,7 @@
     // requests must queue in the routers.
     let mut f = fleet(4);
     let mut out = String::new();
-    let calm = ClosedLoopLoad {
+    let light_load = ClosedLoopLoad {
         callers: vec![
             vec![0; 4],
             vec![2, 2, 0, 0],
@@ -72,8 +72,8 @@
             vec![0, 0, 0, 8],
         ],
     };
-    run_seconds(&mut f, &calm, 2, &mut out);
-    let mut flood = calm;
+    run_seconds(&mut f, &light_load, 2, &mut out);
+    let mut flood = light_load;
     flood.callers[0] = vec![300, 0, 0, 0];
     run_seconds(&mut f, &flood, 5, &mut out);
     expect![[r#"
--- a/crates/policy/tests/limit.rs
+++ b/crates/policy/tests/limit.rs
@@ -106,7 +106,7 @@
         e.capacity = 32.0;
         e.run(&mut limit, 30.0);
         let (mean, used) = e.run(&mut limit, 60.0);
-        println!("whole seed {seed}: limit {mean:.1}, utilisation {used:.3}");
+        println!("restored seed {seed}: limit {mean:.1}, utilisation {used:.3}");
         assert!(
             mean <= 32.0 * 1.75 && used >= 0.97,
             "seed {seed}: {mean} {used}"
@@ -201,7 +201,7 @@
     let mut e = Engine::new(8.0, 0.0, 1);
     while !limit.is_probing() {
         e.run(&mut limit, REPORT_INTERVAL);
-        assert!(e.now < 600.0, "no look for the floor");
+        assert!(e.now < 600.0, "no probe was started");
     }
     for i in 1..400 {
         let now = Time(((e.now + REPORT_INTERVAL * f64::from(i)) * 1e6) as u64);
--- a/crates/policy/tests/limit_pool.rs
+++ b/crates/policy/tests/limit_pool.rs
@@ -127,8 +127,8 @@
             .iter()
             .filter(|r| r.remaining == r.tokens)
             .count();
-        let begun = self.requests.len() - waiting;
-        self.limit.record_load(begun as u32, waiting as u32, now);
+        let started = self.requests.len() - waiting;
+        self.limit.record_load(started as u32, waiting as u32, now);
     }
 }
 
