--- a/crates/gateway/src/fleet/beat/tests.rs
+++ b/crates/gateway/src/fleet/beat/tests.rs
@@ -10,14 +10,14 @@
         Word, //
     },
     policy::{
-        actives::Intro,
+        actives::RouterInfo,
         placement::{
             Load,
             ReplicaKey, //
         },
-        quarantine::Notes,
+        quarantine::QuarantineUpdate,
         quota::{
-            Asked,
+            UsageCounts,
             WorkspaceKey, //
         },
         Era,
@@ -79,11 +79,11 @@
     assert!(bytes.len() <= 200, "{}", bytes.len());
 }
 
-fn counts(n: u32) -> Vec<(WorkspaceKey, Asked)> {
-    let asked = Asked {
-        asked: 1e7,
-        given: 1e6,
-        lately: 2e6,
+fn counts(n: u32) -> Vec<(WorkspaceKey, UsageCounts)> {
+    let asked = UsageCounts {
+        requested: 1e7,
+        served: 1e6,
+        recent: 2e6,
     };
     (0..n)
         .map(|i| (WorkspaceKey(0xa000_0000 + i), asked))
@@ -118,7 +118,7 @@
 fn hello_stays_small() {
     // An active router of 370 tells 100 others a second that it is there, which is to leave most of
     // 21 KB/s for what it tells the other active ones.
-    let intro = Intro {
+    let intro = RouterInfo {
         incarnation: Incarnation(u64::MAX),
         peers: "10.250.250.250:7400".parse().unwrap(),
         callers: "10.250.250.250:8783".parse().unwrap(),
@@ -133,7 +133,7 @@
         rate: 1_234.5,
         counts: Vec::new(),
         left: Vec::new(),
-        notes: Notes::default(),
+        notes: QuarantineUpdate::default(),
         silent: Vec::new(),
         asks: false,
         known: Vec::new(),
--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -39,7 +39,7 @@
 pub(crate) async fn follow_replicas(gw: Arc<Shared>) {
     loop {
         if !is_due(&gw) {
-            task::sleep(Roster::<()>::LOOK.into()).await;
+            task::sleep(Roster::<()>::POLL_INTERVAL.into()).await;
             continue;
         }
         let read = (gw.store.replicas)().await;
@@ -47,7 +47,7 @@
         match read {
             Ok(list) => take(&gw, list),
             Err(_) => {
-                gw.tables().roster.failed();
+                gw.tables().roster.read_failed();
                 task::sleep(AGAIN).await;
             }
         }
@@ -58,8 +58,8 @@
 fn is_due(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
-    let routers = tables.fleet.takers();
-    let since = now - tables.fleet.patience();
+    let routers = tables.fleet.eligible_count();
+    let since = now - tables.fleet.standby_delay();
     tables.roster.is_due(fastrand::f64(), routers, since)
 }
 
@@ -68,8 +68,8 @@
     let now = gw.now();
     let gone = {
         let roster = &mut gw.tables().roster;
-        roster.read_at(list.revision, now);
-        roster.listed(entries(list.replicas), now)
+        roster.set_revision(list.revision, now);
+        roster.apply_list(entries(list.replicas), now)
     };
     note(gw, &gone, "store");
     // Until the peers hear of it, they draw who reads next: 85 routers, who speak every 0.4 s,
@@ -88,10 +88,10 @@
     let now = gw.now();
     let gone = {
         let roster = &mut gw.tables().roster;
-        if !roster.takes_list_of(era, now) {
+        if !roster.accepts_list_of(era, now) {
             return;
         }
-        roster.listed_by_peer(entries(list), age, now)
+        roster.apply_peer_list(entries(list), age, now)
     };
     note(gw, &gone, &from.to_string());
 }
@@ -111,8 +111,8 @@
     let now = gw.now();
     let mut tables = gw.tables();
     let known: HashSet<ReplicaKey> = tables.roster.known().map(|(_, r)| r.key()).collect();
-    tables.speeds.keep(|key| known.contains(&key));
-    tables.latencies.keep(|key| known.contains(&key));
+    tables.speeds.retain(|key| known.contains(&key));
+    tables.latencies.retain(|key| known.contains(&key));
     tables.health.retain(|key, _| known.contains(key));
     tables.heard.retain(|key, _| known.contains(key));
     tables
--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -22,17 +22,17 @@
             pick_plain,
             Candidate,
             Pick,
+            PlacementRequest, //
+            PlainCandidate,
             Prompt,
             ReplicaKey,
-            Server,
             View,
-            Wish, //
         },
         quota::{
-            Standing,
+            UsageStanding,
             WorkspaceKey, //
         },
-        Claim,
+        AnswerState,
         ReplicaId,
         Span,
         Time, //
@@ -60,7 +60,7 @@
 /// What a router knew when it chose among engines, for the log.
 #[derive(Debug, Clone, Copy, Default)]
 struct Basis {
-    standing: Standing,
+    standing: UsageStanding,
     view: View,
     active: bool,
 }
@@ -75,7 +75,7 @@
         write!(
             f,
             "share={:.2} even={:.2} asked={:.0} part={:.0} running={} own={} peers={} active={active}",
-            standing.share, standing.even, standing.asked, standing.part, view.running, view.own,
+            standing.share, standing.max_min_ratio, standing.demand, standing.max_min_share, view.running, view.local,
             view.peers,
         )
     }
@@ -95,11 +95,11 @@
         self: &Arc<Shared>,
         req: &Request,
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
     ) -> Result<Place, Refused> {
         let now = self.now();
         let mut tables = self.tables();
-        if let Some(left) = tables.quarantine.left(req.digest, now) {
+        if let Some(left) = tables.quarantine.remaining(req.digest, now) {
             return Err(Refused {
                 why: Refusal::Held,
                 after: left.into(),
@@ -124,7 +124,11 @@
                     inputs: String::new(),
                 })
             }
-            Some(Pick::Refuse { after, full, bound }) => {
+            Some(Pick::Refuse {
+                retry_after: after,
+                fullness: full,
+                bound,
+            }) => {
                 if let (Some(prompt), Some(workspace), Some(basis)) =
                     (prompt, &req.workspace, basis)
                 {
@@ -154,13 +158,13 @@
         req: &Request,
         (prompt, engine): (&Prompt, Engine),
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
         now: Time,
     ) -> (Option<Pick>, Basis) {
         let workspace = req.workspace.as_ref().map(WorkspaceKey::of);
-        let standing = workspace.map_or(Standing::default(), |key| {
+        let standing = workspace.map_or(UsageStanding::default(), |key| {
             if tried.is_empty() {
-                self.quota.asked(key, prompt.cost(), now);
+                self.quota.record_requested(key, prompt.cost(), now);
             }
             self.quota.standing(key, roll(&req.id), now)
         });
@@ -171,19 +175,19 @@
             active: self.fleet.is_active(),
         };
         let usual = self.usual_failures(req);
-        let home = prompt.home().unwrap_or_default();
+        let home = prompt.affinity_key().unwrap_or_default();
         let candidates: Vec<Candidate> = self
             .open(req, tried, now)
             .map(|(key, replica)| Candidate {
                 id: replica.id.clone(),
                 key,
                 slots: engine.slots,
-                copies: engine.copies,
+                can_copy: engine.copies,
                 memory: engine.memory,
                 speed: self.speeds.of(key),
                 load: self.board.load(key, now),
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(usual)),
-                cached: self
+                cached_age_s: self
                     .cached
                     .get(&(key, home))
                     .map(|at| now.since(*at).as_secs()),
@@ -192,13 +196,13 @@
         if candidates.is_empty() {
             return (None, basis);
         }
-        let wish = Wish {
+        let wish = PlacementRequest {
             prompt,
-            claim,
+            answer: claim,
             target: Span::from(req.route.target),
-            shortest: Span::from(req.shortest),
-            standing,
-            words: self.fleet.pace(),
+            shortest_target: Span::from(req.shortest),
+            usage: standing,
+            load_interval: self.fleet.gossip_interval(),
             tuning: &gw.settings.placement,
         };
         (Some(pick(&candidates, &wish)), basis)
@@ -209,19 +213,19 @@
         gw: &Shared,
         req: &Request,
         tried: &[ReplicaId],
-        claim: Claim,
+        claim: AnswerState,
         now: Time,
     ) -> Option<Pick> {
         let usual = self.usual_failures(req);
-        let servers: Vec<Server> = self
+        let servers: Vec<PlainCandidate> = self
             .open(req, tried, now)
-            .map(|(key, replica)| Server {
+            .map(|(key, replica)| PlainCandidate {
                 id: replica.id.clone(),
                 key,
                 slots: replica.slots,
                 load: self.board.load(key, now),
-                took: self.latencies.of(key),
-                near: replica.zone == gw.settings.zone,
+                mean_latency_s: self.latencies.of(key),
+                same_zone: replica.zone == gw.settings.zone,
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(usual)),
             })
             .collect();
@@ -239,7 +243,7 @@
         ready
             .filter(|(id, r)| r.service == req.service && !tried.contains(id))
             .map(|(_, r)| (r.key(), r))
-            .filter(move |(key, _)| self.health.get(key).is_none_or(|h| h.open(now)))
+            .filter(move |(key, _)| self.health.get(key).is_none_or(|h| h.is_available(now)))
     }
 
     /// Returns the part of failures that is usual at a service: the least of its replicas'.
--- a/crates/gateway/src/serve/place.rs
+++ b/crates/gateway/src/serve/place.rs
@@ -18,7 +18,7 @@
         },
         quarantine::RequestDigest,
         quota::WorkspaceKey,
-        Claim,
+        AnswerState,
         Span,
         Time, //
     },
@@ -93,7 +93,7 @@
         gw: &Arc<Shared>,
         req: &Request,
         choice: Choice,
-        claim: Claim,
+        claim: AnswerState,
         now: Time,
     ) -> Place {
         let prompt = req.prompt.as_ref();
@@ -104,13 +104,13 @@
         };
         self.board.start(choice.key, load);
         self.health.entry(choice.key).or_default().sent(now);
-        if let Some(home) = prompt.and_then(Prompt::home) {
+        if let Some(home) = prompt.and_then(Prompt::affinity_key) {
             self.cached.insert((choice.key, home), now);
         }
-        let counted = prompt.filter(|_| claim == Claim::New);
+        let counted = prompt.filter(|_| claim == AnswerState::NotStarted);
         if let (Some(prompt), Some(workspace)) = (counted, &req.workspace) {
             let key = WorkspaceKey::of(workspace);
-            self.quota.given(key, prompt.cost(), now);
+            self.quota.record_served(key, prompt.cost(), now);
             self.tally.begun(workspace, prompt.cost() as u64);
         }
         let replica = self.roster.get(&choice.replica).cloned();
@@ -138,7 +138,7 @@
         let now = self.gw.now();
         let mut tables = self.gw.tables();
         tables.board.read(self.key, self.load.unread);
-        tables.speeds.note(self.key, self.unread, took);
+        tables.speeds.record(self.key, self.unread, took);
         tables.heard.insert(self.key, now);
         drop(tables);
         self.load.unread = 0;
@@ -186,7 +186,7 @@
             tables.quarantine.answered(self.digest, now);
         }
         if self.load.memory == 0 {
-            tables.latencies.note(self.key, took);
+            tables.latencies.record(self.key, took);
         }
     }
 
--- a/crates/policy/src/actives/table.rs
+++ b/crates/policy/src/actives/table.rs
@@ -4,10 +4,10 @@
     super::{
         contacts::Contacts,
         peer::{
-            short,
-            Heard,
-            Intro,
+            router_key,
+            HelloKind,
             Peer,
+            RouterInfo,
             Silence, //
         },
         rate::Rate, //
@@ -31,9 +31,9 @@
 /// # Examples
 ///
 /// ```
-/// use policy::{actives::{Actives, Intro}, Incarnation, Span, Time};
+/// use policy::{actives::{Actives, RouterInfo}, Incarnation, Span, Time};
 ///
-/// let intro = |port| Intro {
+/// let intro = |port| RouterInfo {
 ///     incarnation: Incarnation(1),
 ///     peers: ([127, 0, 0, 1], port).into(),
 ///     callers: ([127, 0, 0, 1], port + 1).into(),
@@ -43,7 +43,7 @@
 /// };
 /// let mut fleet = Actives::new("r1".parse()?, intro(7000), 24, Span::millis(100));
 /// let (name, now) = ("r2".parse()?, Time(0));
-/// fleet.hello(&name, 1, intro(7100), Span::millis(100), 0.0, now);
+/// fleet.receive_hello(&name, 1, intro(7100), Span::millis(100), 0.0, now);
 /// fleet.refresh(now);
 /// assert_eq!(fleet.active_count(), 2);
 /// // It falls silent.
@@ -54,7 +54,7 @@
 #[derive(Debug)]
 pub struct Actives {
     pub(super) name: RouterId,
-    pub(super) own: Intro,
+    pub(super) own: RouterInfo,
     /// Least number of active routers, where there are as many.
     pub(super) least: usize,
     /// Time between two words of active routers, where these are few.
@@ -77,7 +77,7 @@
 
 /// What a router's word on its loads says besides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
-pub struct Said {
+pub struct LoadFlags {
     /// It has many requests.
     pub busy: bool,
     /// It takes the router that it tells for active.
@@ -88,7 +88,7 @@
 
 impl Actives {
     /// Makes the table of a router that knows nobody yet.
-    pub fn new(name: RouterId, own: Intro, least: usize, beat: Span) -> Actives {
+    pub fn new(name: RouterId, own: RouterInfo, least: usize, beat: Span) -> Actives {
         Actives {
             name,
             contacts: Contacts::new(own.peers),
@@ -112,7 +112,7 @@
     }
 
     /// Returns what this router tells of itself.
-    pub fn own(&self) -> &Intro {
+    pub fn local(&self) -> &RouterInfo {
         &self.own
     }
 
@@ -135,31 +135,31 @@
     }
 
     /// Notes that somebody lists a router at this address.
-    pub fn list(&mut self, addr: SocketAddr, now: Time) {
+    pub fn add_address(&mut self, addr: SocketAddr, now: Time) {
         if addr != self.own.peers {
             self.contacts.list(addr, now);
         }
     }
 
     /// Takes the word of another router on who it is; its next one comes after `next`.
-    pub fn hello(
+    pub fn receive_hello(
         &mut self,
         name: &RouterId,
         number: u32,
-        intro: Intro,
+        intro: RouterInfo,
         next: Span,
         rate: f64,
         now: Time,
-    ) -> Heard {
+    ) -> HelloKind {
         let known = self.peers.get(name);
         let same = known.filter(|p| p.intro.incarnation == intro.incarnation);
         // Datagrams overtake each other. An old word would bring back what has changed.
         if same.is_some_and(|p| number <= p.hello) {
-            return Heard::Old;
+            return HelloKind::Stale;
         }
         let first = same.is_none();
         let changed = same.is_none_or(|p| p.silent.is_some() || p.intro.ready != intro.ready);
-        let before = known.map(|p| short(name, p.intro.incarnation));
+        let before = known.map(|p| router_key(name, p.intro.incarnation));
         let peer = Peer {
             rate,
             introduced: now,
@@ -176,7 +176,7 @@
         if let Some(before) = before {
             self.shorts.remove(&before);
         }
-        let key = short(name, peer.intro.incarnation);
+        let key = router_key(name, peer.intro.incarnation);
         self.shorts.insert(key, name.clone());
         self.contacts.list(peer.intro.peers, now);
         self.peers.insert(name.clone(), peer);
@@ -184,19 +184,19 @@
             self.refreshed = None;
         }
         match first {
-            true => Heard::First,
-            false => Heard::Again,
+            true => HelloKind::First,
+            false => HelloKind::Later,
         }
     }
 
     /// Takes a router's word on its loads. Returns who it is and where it hears the others, unless
     /// the word is old or from one that has not said who it is.
-    pub fn word(
+    pub fn receive_loads(
         &mut self,
         from: u32,
         number: u32,
         next: Span,
-        said: Said,
+        said: LoadFlags,
         now: Time,
     ) -> Option<(RouterId, SocketAddr)> {
         let name = self.shorts.get(&from)?;
@@ -225,7 +225,7 @@
 
     /// Takes another router's word that active ones are silent. One that stands by hears each only
     /// every few seconds, and would send callers to one that is gone for as long.
-    pub fn told_silent(&mut self, silent: &[u32], now: Time) {
+    pub fn receive_silent(&mut self, silent: &[u32], now: Time) {
         for key in silent {
             let name = self.shorts.get(key);
             let Some(peer) = name.and_then(|name| self.peers.get_mut(name)) else {
@@ -243,7 +243,7 @@
         let seen = |p: &Peer| p.silent == Some(Silence::Seen);
         let silent = self.peers.iter().filter(|(_, p)| seen(p));
         silent
-            .map(|(name, p)| short(name, p.intro.incarnation))
+            .map(|(name, p)| router_key(name, p.intro.incarnation))
             .collect()
     }
 }
--- a/crates/policy/src/dispatch/dump.rs
+++ b/crates/policy/src/dispatch/dump.rs
@@ -117,7 +117,7 @@
             .map(|(key, q)| QueueDump {
                 workspace: q.workspace.clone(),
                 queued: q.len(),
-                service: Units(state.ledger.level(*key) as f64 / 1000.0),
+                service: Units(state.ledger.virtual_time(*key) as f64 / 1000.0),
             })
             .collect(),
         replicas: state
--- a/crates/policy/src/dispatch/exchange.rs
+++ b/crates/policy/src/dispatch/exchange.rs
@@ -65,7 +65,7 @@
                         .pool_client
                         .granted_virtual_times(from, incarnation, &g)
                 {
-                    state.ledger.hear(key, virtual_time, now);
+                    state.ledger.set_owner_view(key, virtual_time, now);
                 }
                 state
                     .pool_client
@@ -153,7 +153,7 @@
                 }
                 let writer = Writer::of(id, p.incarnation);
                 let relay = service_state.ledger.is_new(writer) && self.relays_usage_to(id, live);
-                if service_state.ledger.owes(writer, relay) {
+                if service_state.ledger.has_updates_for(writer, relay) {
                     let sent_at = service_state.peers.last_sent(id).unwrap_or_default();
                     due.push((sent_at, service.clone(), id.clone(), relay));
                 }
@@ -169,7 +169,7 @@
             return;
         };
         let writer = Writer::of(&to, peer.incarnation);
-        let Some(n) = state.ledger.notes(state.key, writer, relay) else {
+        let Some(n) = state.ledger.usage_updates(state.key, writer, relay) else {
             return;
         };
         self.usage_budget.spend(n.size());
@@ -264,7 +264,7 @@
     /// Does periodic work: ages the usage ledger and falls back to the static share if the owner
     /// is unreachable.
     fn maintain(&mut self, position: &RouterPosition, now: Time) {
-        self.ledger.watch(now);
+        self.ledger.tick(now);
         if let Some(pool) = &self.pool {
             if let Some(debt) = pool.debt(&self.rules) {
                 self.ledger.forgive(debt);
--- a/crates/policy/src/dispatch/message.rs
+++ b/crates/policy/src/dispatch/message.rs
@@ -3,7 +3,7 @@
 use {
     crate::{
         service::ReplicaKey,
-        shares::Notes,
+        shares::UsageUpdates,
         Span, //
     },
     serde::{
@@ -30,7 +30,7 @@
     #[serde(rename = "Lend")]
     SlotGrant(SlotGrant),
     /// Between any two routers: the service that workspaces received.
-    Notes(Notes),
+    Notes(UsageUpdates),
 }
 
 /// The slots that a router holds of a pool, and its backlog.
--- a/crates/policy/src/dispatch/ownership.rs
+++ b/crates/policy/src/dispatch/ownership.rs
@@ -133,7 +133,7 @@
 impl ServiceState {
     /// Recomputes the owner of the service's pool and the service's preferred routers.
     fn update_ownership(&mut self, service: &ServiceId, view: &RouterView<'_>, now: Time) {
-        self.ledger.set_friends(&view.reachable);
+        self.ledger.set_peers(&view.reachable);
         let preferred_routers = view.top_ranked(service, &view.live, PREFERRED_ROUTERS);
         self.pool_client.preferred = preferred_routers.contains(&&view.me.id);
         let others = preferred_routers.iter().filter(|id| ***id != view.me.id);
--- a/crates/policy/src/pool/owner.rs
+++ b/crates/policy/src/pool/owner.rs
@@ -343,7 +343,7 @@
                 out.push((id.clone(), header.request_full_report(term)));
             } else if g.has_reported() && g.state != PeerState::Suspect {
                 let writer = Writer::of(id, g.incarnation);
-                let virtual_time = |w: &WorkspaceDemand| ledger.level_without(w.key, writer);
+                let virtual_time = |w: &WorkspaceDemand| ledger.virtual_time_without(w.key, writer);
                 let local = id == me;
                 let may_send = local || self.send_budget.has_bytes() && g.can_send(now);
                 let mut grant =
--- a/crates/policy/src/pool/targets.rs
+++ b/crates/policy/src/pool/targets.rs
@@ -44,7 +44,7 @@
         let claimants: Vec<Claimant> = by_workspace
             .iter()
             .map(|(key, demand)| Claimant {
-                virtual_time: ledger.level(*key) as f64,
+                virtual_time: ledger.virtual_time(*key) as f64,
                 share: ledger.share(*key).get(),
                 demand: *demand,
             })
--- a/crates/policy/src/quota/mod.rs
+++ b/crates/policy/src/quota/mod.rs
@@ -6,11 +6,11 @@
 mod window;
 
 pub use self::{
-    level::level,
+    level::max_min_share,
     table::{
-        Asked,
         Quota,
-        Standing,
+        UsageCounts,
+        UsageStanding,
         WorkspaceKey, //
     },
     tally::{
--- a/crates/policy/src/service/admission.rs
+++ b/crates/policy/src/service/admission.rs
@@ -42,7 +42,7 @@
         queue.update_drain(now);
         let most = self
             .ledger
-            .queue_of(request.key)
+            .queue_limit(request.key)
             .unwrap_or(self.rules.queue);
         if queue.len() >= most {
             let delay = queue.drain.time_to_drain(queue.len().div_ceil(2));
--- a/crates/policy/src/service/pick.rs
+++ b/crates/policy/src/service/pick.rs
@@ -85,7 +85,7 @@
             .iter()
             .filter_map(|(k, q)| {
                 Some((
-                    self.ledger.level(*k),
+                    self.ledger.virtual_time(*k),
                     requests[q.positions.first()?.2].job.urgency,
                     *k,
                 ))
--- a/crates/policy/src/service/state.rs
+++ b/crates/policy/src/service/state.rs
@@ -191,7 +191,7 @@
         let running = |key: Key| queues.get(&key).map_or(0, |q| q.charged);
         for key in queues.iter().filter(|q| !q.1.is_empty()).map(|q| *q.0) {
             self.ledger.activate(key, credit, running);
-            self.ledger.set_waits(key, true);
+            self.ledger.set_backlogged(key, true);
         }
     }
 
@@ -222,7 +222,7 @@
                 .last_backlogged
                 .is_none_or(|t| now.since(t) >= BACKLOG_HOLD);
             if q.is_empty() && drained {
-                self.ledger.set_waits(*key, false);
+                self.ledger.set_backlogged(*key, false);
             }
         }
         self.queues.retain(|_, q| {
