--- a/crates/policy/src/dispatch/core.rs
+++ b/crates/policy/src/dispatch/core.rs
@@ -10,8 +10,8 @@
         pool::ByteBudget,
         rendezvous,
         service::{
-            ActiveRequest, //
-            ServiceState,
+            ActiveRequest,
+            ServiceState, //
         },
         shares::{
             ShareTable,
--- a/crates/policy/src/dispatch/exchange.rs
+++ b/crates/policy/src/dispatch/exchange.rs
@@ -5,8 +5,8 @@
     crate::{
         rendezvous,
         service::{
-            ReplicaKey, //
-            ServiceState,
+            ReplicaKey,
+            ServiceState, //
         },
         shares::Writer,
         Action,
@@ -71,7 +71,7 @@
                     .pool_client
                     .apply_grant(from, incarnation, &g, &mut state.replica_slots, now);
             }
-            Message::Notes(n) => {
+            Message::UsageUpdates(n) => {
                 let debt = state.pool.as_ref().and_then(|p| p.debt(&state.rules));
                 let writer = Writer::of(from, incarnation);
                 state.ledger.merge(writer, n, debt);
@@ -176,7 +176,7 @@
         state.peers.record_sent(&to, state.ledger.rev(), now);
         self.actions.push(Action::Send {
             to,
-            msg: Message::Notes(n),
+            msg: Message::UsageUpdates(n),
         });
     }
 
--- a/crates/policy/src/dispatch/message.rs
+++ b/crates/policy/src/dispatch/message.rs
@@ -30,7 +30,8 @@
     #[serde(rename = "Lend")]
     SlotGrant(SlotGrant),
     /// Between any two routers: the service that workspaces received.
-    Notes(UsageUpdates),
+    #[serde(rename = "Notes")]
+    UsageUpdates(UsageUpdates),
 }
 
 /// The slots that a router holds of a pool, and its backlog.
@@ -150,7 +151,7 @@
         match self {
             Message::Report(m) => m.service,
             Message::SlotGrant(m) => m.service,
-            Message::Notes(m) => m.service,
+            Message::UsageUpdates(m) => m.service,
         }
     }
 }
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -46,8 +46,8 @@
     },
     message::{
         Message,
-        Report, //
-        SlotGrant,
+        Report,
+        SlotGrant, //
     },
     rules::{
         Mode,
--- a/crates/policy/src/limit/baselines.rs
+++ b/crates/policy/src/limit/baselines.rs
@@ -7,8 +7,8 @@
         RatioBounds,
         ANSWER_BOUNDS,
         FIRST_BYTE_BOUNDS,
-        RISEN_RATIO, //
-        TOKEN_GAP_BOUNDS,
+        RISEN_RATIO,
+        TOKEN_GAP_BOUNDS, //
     },
     window::Window, //
 };
--- a/crates/policy/src/limit/decrease.rs
+++ b/crates/policy/src/limit/decrease.rs
@@ -4,8 +4,8 @@
     super::{
         parameters::{
             CHANGE_RATIO,
-            SETTLED_RATIO, //
-            SNAP_TOLERANCE,
+            SETTLED_RATIO,
+            SNAP_TOLERANCE, //
         },
         window::Window, //
     },
--- a/crates/policy/src/service/admission.rs
+++ b/crates/policy/src/service/admission.rs
@@ -6,8 +6,8 @@
             ActiveRequests,
             Rejection, //
         },
-        ActiveRequest, //
-        ServiceState,
+        ActiveRequest,
+        ServiceState, //
     },
     crate::{
         Job,
--- a/crates/policy/src/service/pick.rs
+++ b/crates/policy/src/service/pick.rs
@@ -5,8 +5,8 @@
         state::ActiveRequests,
         Queue,
         ReplicaKey,
-        ReplicaSlots, //
-        ServiceState,
+        ReplicaSlots,
+        ServiceState, //
     },
     crate::{
         shares::{
--- a/crates/policy/src/service/state.rs
+++ b/crates/policy/src/service/state.rs
@@ -12,12 +12,12 @@
         dispatch::{
             service_key,
             ReplicaLoads,
-            ServiceKey, //
-            ServicePeers,
+            ServiceKey,
+            ServicePeers, //
         },
         pool::{
-            Pool, //
-            PoolClient,
+            Pool,
+            PoolClient, //
         },
         shares::{
             Key,
--- a/crates/policy/tests/golden.rs
+++ b/crates/policy/tests/golden.rs
@@ -9,8 +9,8 @@
     expect_test::expect,
     fleet::{
         rules,
-        ClosedLoopLoad, //
-        Fleet,
+        ClosedLoopLoad,
+        Fleet, //
     },
     policy::Mode,
     std::{
