--- a/crates/policy/src/pool/owned_slots.rs
+++ b/crates/policy/src/pool/owned_slots.rs
@@ -54,9 +54,9 @@
     }
 
     /// Raises the limit to the one that a previous owner has learnt.
-    pub(crate) fn inherit(&mut self, used: u32) {
-        if used > self.limit() {
-            self.limit = ConcurrencyLimit::new(Slots(used));
+    pub(crate) fn inherit(&mut self, learnt: u32) {
+        if learnt > self.limit() {
+            self.limit = ConcurrencyLimit::new(Slots(learnt));
         }
     }
 }
