--- a/crates/policy/src/members/messages.rs
+++ b/crates/policy/src/members/messages.rs
@@ -23,7 +23,8 @@
     /// The sequence number; all heartbeats of one round have the same.
     pub seq: u64,
     /// The sender's addresses; left out of most heartbeats to save bytes.
-    pub intro: Option<Intro>,
+    #[serde(rename = "intro")]
+    pub addresses: Option<RouterAddresses>,
     /// The sender is shutting down.
     pub leaving: bool,
     /// The sender cannot reach the platform.
@@ -47,7 +48,7 @@
 
 /// The addresses and the zone of a router.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Intro {
+pub struct RouterAddresses {
     /// The address for other routers.
     pub addr: SocketAddr,
     /// The address for callers.
--- a/crates/policy/src/members/mod.rs
+++ b/crates/policy/src/members/mod.rs
@@ -27,8 +27,8 @@
         Event,
         GossipUpdate,
         Heartbeat,
-        Intro,
-        ReportedState, //
+        ReportedState,
+        RouterAddresses, //
     },
     params::MembershipParams,
     table::{
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -5,11 +5,11 @@
         intervals::IntervalStats,
         GossipUpdate,
         Heartbeat,
-        Intro,
         Listed,
         Member,
         MembershipParams,
         ReportedState,
+        RouterAddresses,
         State, //
     },
     crate::{
@@ -46,15 +46,20 @@
 }
 
 impl Peer {
-    pub(super) fn new(id: RouterId, intro: &Intro, params: &MembershipParams, now: Time) -> Peer {
+    pub(super) fn new(
+        id: RouterId,
+        addresses: &RouterAddresses,
+        params: &MembershipParams,
+        now: Time,
+    ) -> Peer {
         Peer {
             member: Member {
                 id,
                 incarnation: Incarnation::default(),
-                addr: intro.addr,
-                callers: intro.callers,
-                operators: intro.operators,
-                zone: intro.zone.clone(),
+                addr: addresses.addr,
+                callers: addresses.callers,
+                operators: addresses.operators,
+                zone: addresses.zone.clone(),
                 state: State::Listed,
                 leaving: false,
                 no_platform: false,
@@ -137,7 +142,7 @@
         m.no_platform = b.no_platform;
         m.inbound_ok = true;
         m.outbound_ok = !b.missing.contains(me);
-        if let Some(i) = &b.intro {
+        if let Some(i) = &b.addresses {
             m.addr = i.addr;
             m.callers = i.callers;
             m.operators = i.operators.or(m.operators);
--- a/crates/policy/src/members/receive.rs
+++ b/crates/policy/src/members/receive.rs
@@ -50,10 +50,10 @@
         if self.peers.contains_key(&b.id) {
             return true;
         }
-        let Some(intro) = &b.intro else {
+        let Some(addresses) = &b.addresses else {
             return false;
         };
-        let peer = Peer::new(b.id.clone(), intro, &self.params, now);
+        let peer = Peer::new(b.id.clone(), addresses, &self.params, now);
         self.peers.insert(b.id.clone(), peer);
         true
     }
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -8,11 +8,11 @@
         Event,
         GossipUpdate,
         Heartbeat,
-        Intro,
         Listed,
         Member,
         MembershipParams,
         ReportedState,
+        RouterAddresses,
         State, //
     },
     crate::{
@@ -28,25 +28,26 @@
 };
 
 /// Rounds between two heartbeats with addresses to a router whose heartbeats arrive here.
-const INTRO_INTERVAL: u64 = 16;
+const ADDRESSES_INTERVAL: u64 = 16;
 
 /// The routers known to this one, itself included.
 ///
 /// # Examples
 ///
 /// ```
-/// use policy::{members::{Event, Intro, Members, MembershipParams}, Incarnation, Time};
+/// use policy::{members::{Event, Members, MembershipParams, RouterAddresses}, Incarnation, Time};
 ///
-/// let intro = |port| Intro {
+/// let addresses = |port| RouterAddresses {
 ///     addr: ([127, 0, 0, 1], port).into(),
 ///     callers: ([127, 0, 0, 1], port + 1).into(),
 ///     operators: None,
 ///     zone: "hall-a".parse().unwrap(),
 /// };
 /// let id = |s: &str| s.parse().unwrap();
-/// let mut a = Members::new(id("a"), Incarnation(1), intro(7000), MembershipParams::default(), 1);
-/// let mut b = Members::new(id("b"), Incarnation(1), intro(7100), MembershipParams::default(), 2);
-/// a.seed(id("b"), intro(7100), Time(0));
+/// let params = MembershipParams::default();
+/// let mut a = Members::new(id("a"), Incarnation(1), addresses(7000), params.clone(), 1);
+/// let mut b = Members::new(id("b"), Incarnation(1), addresses(7100), params, 2);
+/// a.seed(id("b"), addresses(7100), Time(0));
 /// a.tick(Time(0));
 /// for e in a.take_events() {
 ///     if let Event::SendHeartbeat { heartbeat, .. } = e {
@@ -59,7 +60,7 @@
 pub struct Members {
     pub(super) me: RouterId,
     pub(super) incarnation: Incarnation,
-    pub(super) intro: Intro,
+    pub(super) addresses: RouterAddresses,
     pub(super) local: LocalStatus,
     pub(super) params: MembershipParams,
     pub(super) rng: Rng,
@@ -94,14 +95,14 @@
     pub fn new(
         me: RouterId,
         incarnation: Incarnation,
-        intro: Intro,
+        addresses: RouterAddresses,
         params: MembershipParams,
         seed: u64,
     ) -> Members {
         Members {
             me,
             incarnation,
-            intro,
+            addresses,
             local: LocalStatus::default(),
             params,
             rng: Rng::with_seed(seed),
@@ -124,11 +125,11 @@
     }
 
     /// Adds a router from the settings or from a peer, for when no list is available.
-    pub fn seed(&mut self, id: RouterId, intro: Intro, now: Time) {
+    pub fn seed(&mut self, id: RouterId, addresses: RouterAddresses, now: Time) {
         if id == self.me || self.peers.contains_key(&id) {
             return;
         }
-        let peer = Peer::new(id.clone(), &intro, &self.params, now);
+        let peer = Peer::new(id.clone(), &addresses, &self.params, now);
         self.peers.insert(id, peer);
         self.events.push(Event::Changed);
     }
@@ -143,13 +144,13 @@
             if l.id == self.me {
                 continue;
             }
-            let intro = Intro {
+            let addresses = RouterAddresses {
                 addr: l.addr,
                 callers: l.callers,
                 operators: None,
                 zone: l.zone.clone(),
             };
-            self.seed(l.id.clone(), intro, now);
+            self.seed(l.id.clone(), addresses, now);
             if let Some(p) = self.peers.get_mut(&l.id) {
                 let before = p.member.clone();
                 p.apply_list_entry(&l);
@@ -218,10 +219,10 @@
         Member {
             id: self.me.clone(),
             incarnation: self.incarnation,
-            addr: self.intro.addr,
-            callers: self.intro.callers,
-            operators: self.intro.operators,
-            zone: self.intro.zone.clone(),
+            addr: self.addresses.addr,
+            callers: self.addresses.callers,
+            operators: self.addresses.operators,
+            zone: self.addresses.zone.clone(),
             state: State::Live,
             leaving: self.local.leaving,
             no_platform: self.local.no_platform,
@@ -258,12 +259,12 @@
         };
         let mut updates = self.pending.remove(to).unwrap_or_default();
         updates.extend(self.gossip.take());
-        let known = p.member.inbound_ok && !reply_requested && self.seq % INTRO_INTERVAL != 0;
+        let known = p.member.inbound_ok && !reply_requested && self.seq % ADDRESSES_INTERVAL != 0;
         let heartbeat = Heartbeat {
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
-            intro: (!known).then(|| self.intro.clone()),
+            addresses: (!known).then(|| self.addresses.clone()),
             leaving: self.local.leaving,
             no_platform: self.local.no_platform,
             config: self.local.config,
--- a/crates/policy/tests/head/main.rs
+++ b/crates/policy/tests/head/main.rs
@@ -16,10 +16,10 @@
         Source, //
     },
     members::{
-        Intro,
         Member,
         Members,
-        MembershipParams, //
+        MembershipParams,
+        RouterAddresses, //
     },
     Incarnation,
     RouterId,
@@ -141,7 +141,7 @@
 }
 
 fn fleet_of_eight() -> Vec<Member> {
-    let intro = |port| Intro {
+    let addresses = |port| RouterAddresses {
         addr: ([127, 0, 0, 1], port).into(),
         callers: ([127, 0, 0, 1], port).into(),
         operators: None,
@@ -150,12 +150,16 @@
     let mut all = Members::new(
         "r0".parse().unwrap(),
         Incarnation(1),
-        intro(7000),
+        addresses(7000),
         MembershipParams::default(),
         1,
     );
     for i in 1..8 {
-        all.seed(format!("r{i}").parse().unwrap(), intro(7000 + i), Time(0));
+        all.seed(
+            format!("r{i}").parse().unwrap(),
+            addresses(7000 + i),
+            Time(0),
+        );
     }
     all.view()
 }
--- a/crates/policy/tests/members/fleet.rs
+++ b/crates/policy/tests/members/fleet.rs
@@ -6,10 +6,10 @@
         members::{
             Event,
             Heartbeat,
-            Intro,
             LocalStatus,
             Members,
             MembershipParams,
+            RouterAddresses,
             State, //
         },
         Incarnation,
@@ -71,8 +71,8 @@
     id.as_str()[7..].parse().unwrap()
 }
 
-pub fn intro(i: usize) -> Intro {
-    Intro {
+pub fn addresses(i: usize) -> RouterAddresses {
+    RouterAddresses {
         addr: ([10, 0, (i / 250) as u8, (i % 250) as u8], 7400).into(),
         callers: ([10, 0, (i / 250) as u8, (i % 250) as u8], 7500).into(),
         operators: None,
@@ -118,9 +118,15 @@
     fn start(&self, i: usize, n: usize, incarnation: u64) -> Node {
         let seed = i as u64 + incarnation * 1000;
         let start = Incarnation(incarnation);
-        let mut table = Members::new(id(i), start, intro(i), MembershipParams::default(), seed);
+        let mut table = Members::new(
+            id(i),
+            start,
+            addresses(i),
+            MembershipParams::default(),
+            seed,
+        );
         for j in 0..n {
-            table.seed(id(j), intro(j), self.now);
+            table.seed(id(j), addresses(j), self.now);
         }
         Node {
             table,
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::fleet::{
-        id,
-        intro, //
+        addresses,
+        id, //
     },
     policy::{
         members::{
@@ -27,7 +27,7 @@
     Members::new(
         id(0),
         Incarnation(1),
-        intro(0),
+        addresses(0),
         MembershipParams::default(),
         1,
     )
@@ -38,7 +38,7 @@
         id: id(i),
         incarnation: Incarnation(incarnation),
         seq,
-        intro: Some(intro(i)),
+        addresses: Some(addresses(i)),
         leaving: false,
         no_platform: false,
         config: 0,
@@ -53,9 +53,9 @@
 fn listed(i: usize, leaving: bool) -> Listed {
     Listed {
         id: id(i),
-        addr: intro(i).addr,
-        callers: intro(i).callers,
-        zone: intro(i).zone,
+        addr: addresses(i).addr,
+        callers: addresses(i).callers,
+        zone: addresses(i).zone,
         leaving,
     }
 }
--- a/src/router/beat.rs
+++ b/src/router/beat.rs
@@ -17,9 +17,9 @@
     policy::{
         members::{
             Event,
-            Intro,
             LocalStatus,
             Member,
+            RouterAddresses,
             State, //
         },
         Peer,
@@ -176,8 +176,8 @@
     }
 }
 
-pub(crate) fn intro(router: &Router) -> Intro {
-    Intro {
+pub(crate) fn intro(router: &Router) -> RouterAddresses {
+    RouterAddresses {
         addr: router.settings.peers.advertise,
         callers: router.settings.callers.advertise,
         operators: Some(router.settings.operators.advertise),
@@ -204,7 +204,7 @@
         let view = lock(&self.members).view();
         let known = view.into_iter().map(|m| Known {
             id: m.id,
-            intro: Intro {
+            intro: RouterAddresses {
                 addr: m.addr,
                 callers: m.callers,
                 operators: m.operators,
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -9,7 +9,7 @@
     policy::{
         members::{
             Heartbeat,
-            Intro, //
+            RouterAddresses, //
         },
         tickets::{
             TransferReply,
@@ -66,5 +66,5 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Known {
     pub(crate) id: RouterId,
-    pub(crate) intro: Intro,
+    pub(crate) intro: RouterAddresses,
 }
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -50,9 +50,9 @@
     policy::{
         head::Head,
         members::{
-            Intro,
             Members,
-            MembershipParams, //
+            MembershipParams,
+            RouterAddresses, //
         },
         tickets::{
             Holder,
@@ -190,7 +190,7 @@
         incarnation: incarnation(),
     };
     let clock = Clock::new();
-    let intro = Intro {
+    let intro = RouterAddresses {
         addr: settings.peers.advertise,
         callers: settings.callers.advertise,
         operators: Some(settings.operators.advertise),
--- a/src/slopes/members.rs
+++ b/src/slopes/members.rs
@@ -12,11 +12,11 @@
         members::{
             Event,
             Heartbeat,
-            Intro,
             Listed,
             LocalStatus,
             Members,
-            MembershipParams, //
+            MembershipParams,
+            RouterAddresses, //
         },
         Incarnation,
         RouterId,
@@ -145,7 +145,7 @@
 
 fn table(me: usize, n: usize) -> Members {
     let zone = |i: usize| format!("zone-{}", i % 9).parse().expect("a valid name");
-    let intro = Intro {
+    let intro = RouterAddresses {
         addr: addr(me),
         callers: addr(me),
         operators: Some(addr(me)),
