--- a/crates/policy/src/members/member.rs
+++ b/crates/policy/src/members/member.rs
@@ -22,9 +22,9 @@
     /// The address for other routers.
     pub addr: SocketAddr,
     /// The address for callers.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// The address for operators, if the router announced one.
-    pub operators: Option<SocketAddr>,
+    pub operator_addr: Option<SocketAddr>,
     /// Its availability zone.
     pub zone: Zone,
     /// Its health.
@@ -68,7 +68,7 @@
     /// The address for other routers.
     pub addr: SocketAddr,
     /// The address for callers.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
     /// The platform lists it as leaving.
--- a/crates/policy/src/members/messages.rs
+++ b/crates/policy/src/members/messages.rs
@@ -52,9 +52,11 @@
     /// The address for other routers.
     pub addr: SocketAddr,
     /// The address for callers.
-    pub callers: SocketAddr,
+    #[serde(rename = "callers")]
+    pub caller_addr: SocketAddr,
     /// The address for operators, if the router announced one.
-    pub operators: Option<SocketAddr>,
+    #[serde(rename = "operators")]
+    pub operator_addr: Option<SocketAddr>,
     /// Its availability zone.
     pub zone: Zone,
 }
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -57,8 +57,8 @@
                 id,
                 incarnation: Incarnation::default(),
                 addr: addresses.addr,
-                callers: addresses.callers,
-                operators: addresses.operators,
+                caller_addr: addresses.caller_addr,
+                operator_addr: addresses.operator_addr,
                 zone: addresses.zone.clone(),
                 state: State::Listed,
                 leaving: false,
@@ -90,7 +90,7 @@
         self.listed = true;
         if self.member.incarnation == Incarnation::default() || self.member.state == State::Dead {
             self.member.addr = l.addr;
-            self.member.callers = l.callers;
+            self.member.caller_addr = l.caller_addr;
             self.member.zone = l.zone.clone();
         }
         self.listed_leaving_stale &= l.leaving;
@@ -144,8 +144,8 @@
         m.outbound_ok = !b.missing.contains(me);
         if let Some(i) = &b.addresses {
             m.addr = i.addr;
-            m.callers = i.callers;
-            m.operators = i.operators.or(m.operators);
+            m.caller_addr = i.caller_addr;
+            m.operator_addr = i.operator_addr.or(m.operator_addr);
             m.zone = i.zone.clone();
         }
         *m != before
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -39,8 +39,8 @@
 ///
 /// let addresses = |port| RouterAddresses {
 ///     addr: ([127, 0, 0, 1], port).into(),
-///     callers: ([127, 0, 0, 1], port + 1).into(),
-///     operators: None,
+///     caller_addr: ([127, 0, 0, 1], port + 1).into(),
+///     operator_addr: None,
 ///     zone: "hall-a".parse().unwrap(),
 /// };
 /// let id = |s: &str| s.parse().unwrap();
@@ -146,8 +146,8 @@
             }
             let addresses = RouterAddresses {
                 addr: l.addr,
-                callers: l.callers,
-                operators: None,
+                caller_addr: l.caller_addr,
+                operator_addr: None,
                 zone: l.zone.clone(),
             };
             self.seed(l.id.clone(), addresses, now);
@@ -220,8 +220,8 @@
             id: self.me.clone(),
             incarnation: self.incarnation,
             addr: self.addresses.addr,
-            callers: self.addresses.callers,
-            operators: self.addresses.operators,
+            caller_addr: self.addresses.caller_addr,
+            operator_addr: self.addresses.operator_addr,
             zone: self.addresses.zone.clone(),
             state: State::Live,
             leaving: self.local.leaving,
--- a/crates/policy/tests/head/main.rs
+++ b/crates/policy/tests/head/main.rs
@@ -143,8 +143,8 @@
 fn fleet_of_eight() -> Vec<Member> {
     let addresses = |port| RouterAddresses {
         addr: ([127, 0, 0, 1], port).into(),
-        callers: ([127, 0, 0, 1], port).into(),
-        operators: None,
+        caller_addr: ([127, 0, 0, 1], port).into(),
+        operator_addr: None,
         zone: "hall-a".parse().unwrap(),
     };
     let mut all = Members::new(
--- a/crates/policy/tests/members/fleet.rs
+++ b/crates/policy/tests/members/fleet.rs
@@ -74,8 +74,8 @@
 pub fn addresses(i: usize) -> RouterAddresses {
     RouterAddresses {
         addr: ([10, 0, (i / 250) as u8, (i % 250) as u8], 7400).into(),
-        callers: ([10, 0, (i / 250) as u8, (i % 250) as u8], 7500).into(),
-        operators: None,
+        caller_addr: ([10, 0, (i / 250) as u8, (i % 250) as u8], 7500).into(),
+        operator_addr: None,
         zone: format!("hall-{}", i % 3).parse().unwrap(),
     }
 }
--- a/crates/policy/tests/members/single.rs
+++ b/crates/policy/tests/members/single.rs
@@ -54,7 +54,7 @@
     Listed {
         id: id(i),
         addr: addresses(i).addr,
-        callers: addresses(i).callers,
+        caller_addr: addresses(i).caller_addr,
         zone: addresses(i).zone,
         leaving,
     }
--- a/src/router/addresses.rs
+++ b/src/router/addresses.rs
@@ -74,7 +74,7 @@
                 let weight = f64::from(owned).max(floor).max(1.0);
                 Address {
                     router: m.id.clone(),
-                    address: m.callers,
+                    address: m.caller_addr,
                     zone: m.zone.clone(),
                     weight: if near { weight } else { weight * FAR },
                 }
--- a/src/router/beat.rs
+++ b/src/router/beat.rs
@@ -179,8 +179,8 @@
 pub(crate) fn intro(router: &Router) -> RouterAddresses {
     RouterAddresses {
         addr: router.settings.peers.advertise,
-        callers: router.settings.callers.advertise,
-        operators: Some(router.settings.operators.advertise),
+        caller_addr: router.settings.callers.advertise,
+        operator_addr: Some(router.settings.operators.advertise),
         zone: router.settings.zone.clone(),
     }
 }
@@ -206,8 +206,8 @@
             id: m.id,
             intro: RouterAddresses {
                 addr: m.addr,
-                callers: m.callers,
-                operators: m.operators,
+                caller_addr: m.caller_addr,
+                operator_addr: m.operator_addr,
                 zone: m.zone,
             },
         });
--- a/src/router/list.rs
+++ b/src/router/list.rs
@@ -278,7 +278,7 @@
     Some(members::Listed {
         id: i.name.parse().ok()?,
         addr: i.addr,
-        callers: i.callers?,
+        caller_addr: i.callers?,
         zone: i.zone.clone(),
         leaving: i.state == State::Leaving,
     })
--- a/src/router/report.rs
+++ b/src/router/report.rs
@@ -172,7 +172,7 @@
                     members::State::Listed | members::State::Suspect => MemberState::Suspect,
                     members::State::Dead | members::State::Left => MemberState::Gone,
                 },
-                operators: m.operators,
+                operators: m.operator_addr,
                 revision: m.config,
                 silent: Span::ZERO,
             })
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -192,8 +192,8 @@
     let clock = Clock::new();
     let intro = RouterAddresses {
         addr: settings.peers.advertise,
-        callers: settings.callers.advertise,
-        operators: Some(settings.operators.advertise),
+        caller_addr: settings.callers.advertise,
+        operator_addr: Some(settings.operators.advertise),
         zone: settings.zone.clone(),
     };
     let peer = Peer {
--- a/src/slopes/members.rs
+++ b/src/slopes/members.rs
@@ -147,8 +147,8 @@
     let zone = |i: usize| format!("zone-{}", i % 9).parse().expect("a valid name");
     let intro = RouterAddresses {
         addr: addr(me),
-        callers: addr(me),
-        operators: Some(addr(me)),
+        caller_addr: addr(me),
+        operator_addr: Some(addr(me)),
         zone: zone(me),
     };
     let seed = me as u64;
@@ -162,7 +162,7 @@
     let list = (0..n).map(|i| Listed {
         id: id(i),
         addr: addr(i),
-        callers: addr(i),
+        caller_addr: addr(i),
         zone: zone(i),
         leaving: false,
     });
