--- a/src/router/beat.rs
+++ b/src/router/beat.rs
@@ -17,9 +17,9 @@
     policy::{
         members::{
             Event,
-            Intro,
             LocalStatus,
             Member,
+            RouterAddresses,
             State, //
         },
         Peer,
@@ -176,11 +176,11 @@
     }
 }
 
-pub(crate) fn intro(router: &Router) -> Intro {
-    Intro {
+pub(crate) fn intro(router: &Router) -> RouterAddresses {
+    RouterAddresses {
         addr: router.settings.peers.advertise,
-        callers: router.settings.callers.advertise,
-        operators: Some(router.settings.operators.advertise),
+        caller_addr: router.settings.callers.advertise,
+        operator_addr: Some(router.settings.operators.advertise),
         zone: router.settings.zone.clone(),
     }
 }
@@ -204,10 +204,10 @@
         let view = lock(&self.members).view();
         let known = view.into_iter().map(|m| Known {
             id: m.id,
-            intro: Intro {
+            intro: RouterAddresses {
                 addr: m.addr,
-                callers: m.callers,
-                operators: m.operators,
+                caller_addr: m.caller_addr,
+                operator_addr: m.operator_addr,
                 zone: m.zone,
             },
         });
