--- a/crates/callers/src/connection.rs
+++ b/crates/callers/src/connection.rs
@@ -11,7 +11,7 @@
         wire::Wire,
         Ask,
         Body,
-        Gone,
+        DisconnectSignal,
         Refused,
         Request,
         RequestId,
@@ -98,7 +98,7 @@
         let keep = keeps(&head);
         let method = head.http.method();
         let (ask, id) = self.ask(head).await?;
-        let gone = gone_of(&ask);
+        let gone = disconnect_signal_of(&ask);
         let response = self.handle(ask, &gone, id.as_ref()).await?;
         let sent = self.send(response, &gone, method, id, keep).await;
         if sent.is_err() {
@@ -199,7 +199,7 @@
                 request.body = body;
                 shorten(&mut request, head.since)?;
                 let id = request.id.clone();
-                let gone = Gone::new();
+                let gone = DisconnectSignal::new();
                 Ok((Ask::Request { request, gone }, Some(id)))
             }
         }
@@ -243,7 +243,7 @@
     async fn handle(
         &self,
         ask: Ask,
-        gone: &Gone,
+        gone: &DisconnectSignal,
         id: Option<&RequestId>,
     ) -> Result<Response, Stop> {
         let answer = AssertUnwindSafe((self.shared.handler)(ask)).catch_unwind();
@@ -254,7 +254,7 @@
             let fault = "a fault in the router; its log names this request";
             Refused::new(Why::Internal, fault).into()
         });
-        if gone.is_gone() {
+        if gone.has_fired() {
             return Err(Stop::Closed);
         }
         Ok(response)
@@ -264,7 +264,7 @@
     async fn send(
         &self,
         response: Response,
-        gone: &Gone,
+        gone: &DisconnectSignal,
         method: Method,
         id: Option<RequestId>,
         keep: bool,
@@ -312,7 +312,7 @@
     /// Tells the caller why, and closes.
     async fn refuse(&self, refused: Refused) {
         log::debug!("callers: refused {}: {refused}", self.peer);
-        let gone = Gone::new();
+        let gone = DisconnectSignal::new();
         let sent = self.send(refused.into(), &gone, Method::Get, None, false);
         if sent.await.is_ok() {
             self.wire.linger().await;
@@ -327,10 +327,10 @@
     )
 }
 
-fn gone_of(ask: &Ask) -> Gone {
+fn disconnect_signal_of(ask: &Ask) -> DisconnectSignal {
     match ask {
         Ask::Request { gone, .. } => gone.clone(),
-        Ask::Where { .. } => Gone::new(),
+        Ask::Where { .. } => DisconnectSignal::new(),
     }
 }
 
--- a/crates/callers/src/gone.rs
+++ b/crates/callers/src/disconnect.rs
@@ -15,7 +15,7 @@
 /// broke, or it was cut because the caller did not read. It does not fire when the request
 /// ends otherwise.
 #[derive(Debug, Clone)]
-pub struct Gone(Arc<Inner>);
+pub struct DisconnectSignal(Arc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
@@ -23,11 +23,11 @@
     receiver: Receiver<()>,
 }
 
-impl Gone {
+impl DisconnectSignal {
     /// Makes a signal that has not fired.
-    pub fn new() -> Gone {
+    pub fn new() -> DisconnectSignal {
         let (sender, receiver) = bounded(1);
-        Gone(Arc::new(Inner { sender, receiver }))
+        DisconnectSignal(Arc::new(Inner { sender, receiver }))
     }
 
     /// Waits until the caller hangs up.
@@ -37,7 +37,7 @@
     }
 
     /// Returns whether the caller has hung up.
-    pub fn is_gone(&self) -> bool {
+    pub fn has_fired(&self) -> bool {
         self.0.sender.is_closed()
     }
 
@@ -47,8 +47,8 @@
     }
 }
 
-impl Default for Gone {
-    fn default() -> Gone {
-        Gone::new()
+impl Default for DisconnectSignal {
+    fn default() -> DisconnectSignal {
+        DisconnectSignal::new()
     }
 }
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -7,7 +7,7 @@
 mod addresses;
 mod client;
 mod connection;
-mod gone;
+mod disconnect;
 mod headers;
 mod limits;
 mod parse;
@@ -31,7 +31,7 @@
         Client,
         ClientSettings, //
     },
-    gone::Gone,
+    disconnect::DisconnectSignal,
     headers::{
         DEADLINE_MS,
         OUTCOME,
--- a/crates/callers/src/request.rs
+++ b/crates/callers/src/request.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        Gone,
+        DisconnectSignal,
         WhereQuery, //
     },
     policy::{
@@ -35,7 +35,7 @@
         /// The request.
         request: Box<Request>,
         /// Fires when the caller hangs up.
-        gone: Gone,
+        gone: DisconnectSignal,
     },
 }
 
--- a/crates/callers/src/server.rs
+++ b/crates/callers/src/server.rs
@@ -102,7 +102,7 @@
     /// Makes a server that has `handler` answer.
     ///
     /// The handler's future is never dropped before it ends, also where the caller hung up:
-    /// it is told by [`Gone`](crate::Gone) and should then end soon.
+    /// it is told by [`DisconnectSignal`](crate::DisconnectSignal) and should then end soon.
     pub fn new<F, R>(limits: Limits, handler: F) -> Server
     where
         F: Fn(Ask) -> R + Send + Sync + 'static,
--- a/crates/callers/src/wire.rs
+++ b/crates/callers/src/wire.rs
@@ -2,7 +2,7 @@
 
 use {
     crate::{
-        Gone,
+        DisconnectSignal,
         Response, //
     },
     async_h1::server::Encoder,
@@ -112,7 +112,7 @@
     }
 
     /// Fires the signal when the caller hangs up. Never ends.
-    pub(crate) async fn watch(&self, gone: &Gone) -> Infallible {
+    pub(crate) async fn watch(&self, gone: &DisconnectSignal) -> Infallible {
         // Writing alone finds a hang-up only at the first answer bytes, which may be minutes
         // later. So the socket is read meanwhile; a caller may send its next request early,
         // and that is kept, up to a bound beyond which nothing is read or noticed.
--- a/crates/callers/tests/hang_up.rs
+++ b/crates/callers/tests/hang_up.rs
@@ -13,7 +13,7 @@
     },
     callers::{
         Ask,
-        Gone,
+        DisconnectSignal,
         Limits,
         Piece,
         Response,
@@ -147,7 +147,13 @@
 }
 
 /// Starts a server that streams from a channel, and reports each request's signal.
-async fn streaming(limits: Limits) -> (Server, SocketAddr, Receiver<(Sender<Piece>, Gone)>) {
+async fn streaming(
+    limits: Limits,
+) -> (
+    Server,
+    SocketAddr,
+    Receiver<(Sender<Piece>, DisconnectSignal)>,
+) {
     let (say, heard) = bounded(8);
     let (server, address) = start(limits, move |ask| {
         let say = say.clone();
--- a/src/router/passing.rs
+++ b/src/router/passing.rs
@@ -20,7 +20,7 @@
         task, //
     },
     callers::{
-        Gone,
+        DisconnectSignal,
         Piece,
         Response, //
     },
@@ -57,7 +57,7 @@
     held: Held,
     answer: Answer,
     replica: ReplicaId,
-    gone: Gone,
+    gone: DisconnectSignal,
     /// The caller still reads.
     heard: bool,
     /// When the dispatch was last told of its tokens, and of how many.
@@ -72,7 +72,7 @@
         held: Held,
         answer: Answer,
         replica: ReplicaId,
-        gone: Gone,
+        gone: DisconnectSignal,
     ) -> Passing {
         Passing {
             run,
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -11,7 +11,7 @@
     },
     callers::{
         Ask,
-        Gone,
+        DisconnectSignal,
         Refused,
         Request,
         Response,
@@ -57,7 +57,7 @@
     }
 }
 
-async fn serve(router: Arc<Router>, work: Work, gone: Gone) -> Response {
+async fn serve(router: Arc<Router>, work: Work, gone: DisconnectSignal) -> Response {
     if work.idempotent {
         return Running::new(router, work, None).run(gone).await;
     }
--- a/src/router/running.rs
+++ b/src/router/running.rs
@@ -21,7 +21,7 @@
     },
     async_std::channel::Receiver,
     callers::{
-        Gone,
+        DisconnectSignal,
         Refused,
         Response, //
     },
@@ -127,7 +127,7 @@
     }
 
     /// Runs the request and returns its answer, or the head of it.
-    pub(crate) async fn run(mut self, gone: Gone) -> Response {
+    pub(crate) async fn run(mut self, gone: DisconnectSignal) -> Response {
         let service = &self.work.job.service;
         self.router
             .budget(service, |b, now| b.record_first_attempt(now));
@@ -169,7 +169,7 @@
     }
 
     /// Calls the endpoint once.
-    async fn attempt(mut self, replica: ReplicaId, gone: &Gone) -> Step {
+    async fn attempt(mut self, replica: ReplicaId, gone: &DisconnectSignal) -> Step {
         self.started = Instant::now();
         let call = self.work.call(&replica, self.grant.as_ref(), self.tries);
         let Some(call) = call else {
@@ -196,7 +196,7 @@
     ///
     /// Until then nothing was passed on, so that a call which fails can be tried elsewhere
     /// unseen.
-    async fn begin(&mut self, mut answer: Answer, gone: &Gone) -> Begun {
+    async fn begin(&mut self, mut answer: Answer, gone: &DisconnectSignal) -> Begun {
         let mut held = Held::default();
         loop {
             let event = or(async { answer.next().await }, async {
@@ -228,7 +228,7 @@
     ///
     /// A request that may not be repeated goes on without its caller: its answer is
     /// recorded, so that a caller who lost it can ask for it again.
-    async fn caller_gone(&self, gone: &Gone) {
+    async fn caller_gone(&self, gone: &DisconnectSignal) {
         if self.work.idempotent {
             gone.wait().await;
         } else {
--- a/src/router/tests/ends.rs
+++ b/src/router/tests/ends.rs
@@ -9,7 +9,7 @@
         Router, //
     },
     async_std::task,
-    callers::Gone,
+    callers::DisconnectSignal,
     fastrand::Rng,
     standins::{
         engine,
@@ -45,7 +45,7 @@
     let mut asked = request(service, profile, BODY);
     asked.ticket = Some(ticket);
     asked.deadline = Some(Duration::from_millis(rng.u64(1..3000)));
-    let gone = Gone::new();
+    let gone = DisconnectSignal::new();
     if rng.bool() {
         let (gone, patience) = (gone.clone(), Duration::from_micros(rng.u64(..60_000)));
         task::spawn(async move {
--- a/src/router/tests/stage.rs
+++ b/src/router/tests/stage.rs
@@ -14,7 +14,7 @@
     callers::{
         Ask,
         Body,
-        Gone,
+        DisconnectSignal,
         Piece,
         Request,
         RequestId,
@@ -120,11 +120,17 @@
 
     /// Has a router answer a request.
     pub(crate) async fn ask(&self, router: usize, request: Request) -> Got {
-        self.ask_until(router, request, Gone::new()).await
+        self.ask_until(router, request, DisconnectSignal::new())
+            .await
     }
 
     /// The same, with a caller who may hang up.
-    pub(crate) async fn ask_until(&self, router: usize, request: Request, gone: Gone) -> Got {
+    pub(crate) async fn ask_until(
+        &self,
+        router: usize,
+        request: Request,
+        gone: DisconnectSignal,
+    ) -> Got {
         let router = self.routers[router].router.clone();
         let request = Box::new(request);
         let response = handle(router, Ask::Request { request, gone }).await;
