--- a/crates/callers/examples/measure.rs
+++ b/crates/callers/examples/measure.rs
@@ -13,7 +13,7 @@
         task, //
     },
     callers::{
-        Ask,
+        IncomingRequest,
         Limits,
         Response,
         Server, //
@@ -56,7 +56,7 @@
 }
 
 async fn ours() -> SocketAddr {
-    let server = Server::new(Limits::default(), |_: Ask| async {
+    let server = Server::new(Limits::default(), |_: IncomingRequest| async {
         Response::whole(200, Outcome::Answered, BODY.to_vec())
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/callers/src/addresses.rs
+++ b/crates/callers/src/addresses.rs
@@ -26,7 +26,7 @@
 
 /// Addresses to use for a service, the best first.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Where {
+pub struct AddressList {
     /// The addresses, the best first. Never empty.
     pub addresses: Vec<Address>,
     /// How long the answer may be kept, in milliseconds.
@@ -44,7 +44,7 @@
 pub struct Address {
     /// The router.
     pub router: RouterId,
-    /// Where it takes requests.
+    /// AddressList it takes requests.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
@@ -54,7 +54,7 @@
 
 /// What was asked: `/chervilwind/where?service=S&tickets=N&zone=Z&workspace=W`.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct WhereQuery {
+pub struct AddressListQuery {
     /// The service that will be asked for.
     pub service: ServiceId,
     /// How many tickets are wanted, 0 to 64.
@@ -65,14 +65,14 @@
     pub workspace: Option<WorkspaceId>,
 }
 
-impl Where {
+impl AddressList {
     /// Returns how long the answer may be kept.
     pub fn keep(&self) -> Duration {
         Duration::from_millis(self.keep_ms)
     }
 }
 
-impl WhereQuery {
+impl AddressListQuery {
     /// Reads the query's pairs of name and value. Unknown names are passed over.
     ///
     /// # Errors
@@ -80,7 +80,7 @@
     /// A refusal that names the part which is missing or malformed.
     pub fn from_pairs<'a>(
         pairs: impl Iterator<Item = (&'a str, &'a str)>,
-    ) -> Result<WhereQuery, Refused> {
+    ) -> Result<AddressListQuery, Refused> {
         let (mut service, mut tickets, mut zone, mut workspace) = (None, 0, None, None);
         for (name, value) in pairs {
             match name {
@@ -97,7 +97,7 @@
                 "the query names no service; ask with `?service=NAME`",
             )
         })?;
-        Ok(WhereQuery {
+        Ok(AddressListQuery {
             service,
             tickets: tickets.min(TICKETS_MAX),
             zone,
--- a/crates/callers/src/client/known.rs
+++ b/crates/callers/src/client/known.rs
@@ -1,7 +1,7 @@
 //! What the client keeps: address answers and unused tickets.
 
 use {
-    crate::Where,
+    crate::AddressList,
     policy::ServiceId,
     std::{
         collections::HashMap,
@@ -25,7 +25,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    answers: HashMap<ServiceId, (Where, Instant)>,
+    answers: HashMap<ServiceId, (AddressList, Instant)>,
     tickets: HashMap<(ServiceId, SocketAddr), Vec<Ticket>>,
 }
 
@@ -41,7 +41,7 @@
     }
 
     /// Returns the kept answer, unless it is too old.
-    pub(crate) fn answer(&self, service: &ServiceId) -> Option<Where> {
+    pub(crate) fn answer(&self, service: &ServiceId) -> Option<AddressList> {
         let inner = self.lock();
         let (answer, until) = inner.answers.get(service)?;
         (Instant::now() < *until).then(|| answer.clone())
@@ -56,7 +56,7 @@
         })
     }
 
-    pub(crate) fn keep(&self, service: &ServiceId, answer: &Where) {
+    pub(crate) fn keep(&self, service: &ServiceId, answer: &AddressList) {
         let until = Instant::now() + answer.keep();
         let kept = (answer.clone(), until);
         self.lock().answers.insert(service.clone(), kept);
@@ -82,7 +82,12 @@
         self.lock().tickets.remove(&(service.clone(), router));
     }
 
-    pub(crate) fn keep_tickets(&self, service: &ServiceId, router: SocketAddr, answer: &Where) {
+    pub(crate) fn keep_tickets(
+        &self,
+        service: &ServiceId,
+        router: SocketAddr,
+        answer: &AddressList,
+    ) {
         // Given up a little early, for the time that the answer took to come.
         let keep = Duration::from_millis(answer.ticket_ms) * 9 / 10;
         let until = Instant::now() + keep;
--- a/crates/callers/src/client/steps.rs
+++ b/crates/callers/src/client/steps.rs
@@ -16,8 +16,8 @@
         ClientSettings, //
     },
     crate::{
+        AddressList,
         Refused,
-        Where,
         Why,
         WHERE_PATH, //
     },
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// The last refusal, or that no router could be reached.
-    pub async fn addresses(&self, service: &ServiceId) -> Result<Where, Refused> {
+    pub async fn addresses(&self, service: &ServiceId) -> Result<AddressList, Refused> {
         let known = &self.0.known;
         if let Some(answer) = known.answer(service) {
             return Ok(answer);
@@ -244,7 +244,7 @@
         service: &ServiceId,
         router: SocketAddr,
         tickets: u32,
-    ) -> Result<Where, Refused> {
+    ) -> Result<AddressList, Refused> {
         let unreachable = || {
             Refused::new(
                 Why::NoEndpoint,
--- a/crates/callers/src/connection.rs
+++ b/crates/callers/src/connection.rs
@@ -9,9 +9,9 @@
         },
         server::Shared,
         wire::Wire,
-        Ask,
         Body,
         DisconnectSignal,
+        IncomingRequest,
         Refused,
         Request,
         RequestId,
@@ -183,24 +183,24 @@
     }
 
     /// Checks the head and reads the body.
-    async fn ask(&self, mut head: Head) -> Result<(Ask, Option<RequestId>), Stop> {
+    async fn ask(&self, mut head: Head) -> Result<(IncomingRequest, Option<RequestId>), Stop> {
         let parsed = parse::parse(&head.http, self.peer)?;
         let deadline = match &parsed {
             Parsed::Request(request) => request.deadline,
-            Parsed::Where(_) => None,
+            Parsed::Addresses(_) => None,
         };
         let body = self.body(&mut head, deadline).await?;
         match parsed {
-            Parsed::Where(query) => {
+            Parsed::Addresses(query) => {
                 let peer = self.peer;
-                Ok((Ask::Where { query, peer }, None))
+                Ok((IncomingRequest::Addresses { query, peer }, None))
             }
             Parsed::Request(mut request) => {
                 request.body = body;
                 shorten(&mut request, head.since)?;
                 let id = request.id.clone();
                 let gone = DisconnectSignal::new();
-                Ok((Ask::Request { request, gone }, Some(id)))
+                Ok((IncomingRequest::Request { request, gone }, Some(id)))
             }
         }
     }
@@ -242,7 +242,7 @@
     /// Has the handler answer, and tells it when the caller hangs up.
     async fn handle(
         &self,
-        ask: Ask,
+        ask: IncomingRequest,
         gone: &DisconnectSignal,
         id: Option<&RequestId>,
     ) -> Result<Response, Stop> {
@@ -327,10 +327,10 @@
     )
 }
 
-fn disconnect_signal_of(ask: &Ask) -> DisconnectSignal {
+fn disconnect_signal_of(ask: &IncomingRequest) -> DisconnectSignal {
     match ask {
-        Ask::Request { gone, .. } => gone.clone(),
-        Ask::Where { .. } => DisconnectSignal::new(),
+        IncomingRequest::Request { gone, .. } => gone.clone(),
+        IncomingRequest::Addresses { .. } => DisconnectSignal::new(),
     }
 }
 
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -22,8 +22,8 @@
 pub use self::{
     addresses::{
         Address,
-        Where,
-        WhereQuery, //
+        AddressList,
+        AddressListQuery, //
     },
     client::{
         Answer,
@@ -50,7 +50,7 @@
         Why, //
     },
     request::{
-        Ask,
+        IncomingRequest,
         Request,
         RequestId, //
     },
--- a/crates/callers/src/parse.rs
+++ b/crates/callers/src/parse.rs
@@ -13,11 +13,11 @@
             WHERE_PATH,
             WORKSPACE, //
         },
+        AddressListQuery,
         Limits,
         Refused,
         Request,
         RequestId,
-        WhereQuery,
         Why, //
     },
     std::{
@@ -30,7 +30,7 @@
 
 /// What a head asks, before its body is read.
 pub(crate) enum Parsed {
-    Where(WhereQuery),
+    Addresses(AddressListQuery),
     Request(Box<Request>),
 }
 
@@ -126,7 +126,7 @@
 pub(crate) fn parse(http: &http_types::Request, peer: SocketAddr) -> Result<Parsed, Refused> {
     let path = http.url().path();
     if path == WHERE_PATH {
-        return where_query(http).map(Parsed::Where);
+        return where_query(http).map(Parsed::Addresses);
     }
     if path.starts_with(OWN_PATHS) {
         return Err(Refused::new(
@@ -153,7 +153,7 @@
     })))
 }
 
-fn where_query(http: &http_types::Request) -> Result<WhereQuery, Refused> {
+fn where_query(http: &http_types::Request) -> Result<AddressListQuery, Refused> {
     if http.method() != http_types::Method::Get {
         return Err(Refused::new(
             Why::BadRequest,
@@ -161,7 +161,7 @@
         ));
     }
     let pairs: Vec<_> = http.url().query_pairs().collect();
-    WhereQuery::from_pairs(pairs.iter().map(|(n, v)| (n.as_ref(), v.as_ref())))
+    AddressListQuery::from_pairs(pairs.iter().map(|(n, v)| (n.as_ref(), v.as_ref())))
 }
 
 fn target(http: &http_types::Request) -> String {
--- a/crates/callers/src/request.rs
+++ b/crates/callers/src/request.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
+        AddressListQuery, //
         DisconnectSignal,
-        WhereQuery, //
     },
     policy::{
         IdError,
@@ -22,11 +22,11 @@
 
 /// A question to a router.
 #[derive(Debug)]
-pub enum Ask {
+pub enum IncomingRequest {
     /// Which address to use.
-    Where {
+    Addresses {
         /// What was asked.
-        query: WhereQuery,
+        query: AddressListQuery,
         /// Who asks.
         peer: SocketAddr,
     },
--- a/crates/callers/src/response.rs
+++ b/crates/callers/src/response.rs
@@ -11,9 +11,9 @@
             RETRY_MS, //
         },
         stream_body::StreamBody,
+        AddressList, //
         Refused,
         RequestId,
-        Where, //
     },
     async_std::channel::Receiver,
     http_types::{
@@ -149,8 +149,8 @@
     }
 }
 
-impl From<&Where> for Response {
-    fn from(answer: &Where) -> Response {
+impl From<&AddressList> for Response {
+    fn from(answer: &AddressList) -> Response {
         Response::json(200, answer).header("cache-control", "no-store")
     }
 }
--- a/crates/callers/src/server.rs
+++ b/crates/callers/src/server.rs
@@ -5,7 +5,7 @@
         connection::Connection,
         tune::tune,
         wire::Wire,
-        Ask,
+        IncomingRequest,
         Limits,
         Refused,
         Response,
@@ -79,7 +79,7 @@
 /// What all connections share.
 pub(crate) struct Shared {
     pub(crate) limits: Limits,
-    pub(crate) handler: Box<dyn Fn(Ask) -> Answer + Send + Sync>,
+    pub(crate) handler: Box<dyn Fn(IncomingRequest) -> Answer + Send + Sync>,
     open: Mutex<Open>,
     /// Connections that are being turned away.
     away: AtomicUsize,
@@ -105,7 +105,7 @@
     /// it is told by [`DisconnectSignal`](crate::DisconnectSignal) and should then end soon.
     pub fn new<F, R>(limits: Limits, handler: F) -> Server
     where
-        F: Fn(Ask) -> R + Send + Sync + 'static,
+        F: Fn(IncomingRequest) -> R + Send + Sync + 'static,
         R: Future<Output = Response> + Send + 'static,
     {
         let (stop, stopped) = bounded(1);
--- a/crates/callers/tests/bad_input.rs
+++ b/crates/callers/tests/bad_input.rs
@@ -6,7 +6,7 @@
 use {
     async_std::task,
     callers::{
-        Ask,
+        IncomingRequest,
         Limits,
         Response, //
     },
@@ -51,7 +51,7 @@
 async fn refused(limits: Limits, bytes: impl AsRef<[u8]>) -> String {
     let ran = Arc::new(AtomicUsize::new(0));
     let count = ran.clone();
-    let (_server, address) = start(limits, move |ask: Ask| {
+    let (_server, address) = start(limits, move |ask: IncomingRequest| {
         count.fetch_add(1, Ordering::SeqCst);
         echo(ask)
     })
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -10,16 +10,16 @@
     },
     callers::{
         Address,
+        AddressList,
         Answer,
-        Ask,
         Call,
         Client,
         ClientSettings,
+        IncomingRequest,
         Limits,
         Piece,
         Refused,
         Response,
-        Where,
         Why, //
     },
     common::{
@@ -59,12 +59,12 @@
         async move {
             let mut log = log.lock().unwrap();
             match ask {
-                Ask::Request { request, .. } => {
+                IncomingRequest::Request { request, .. } => {
                     let ticket = request.ticket.as_deref().unwrap_or("-");
                     log.push(format!("{name} {ticket}"));
                     answer(&request)
                 }
-                Ask::Where { query, .. } => {
+                IncomingRequest::Addresses { query, .. } => {
                     log.push(format!("{name} where {}", query.tickets));
                     let n = log.len();
                     let tickets = (0..query.tickets).map(|i| format!("{name}.{n}.{i}"));
@@ -78,14 +78,14 @@
     address
 }
 
-fn addresses(all: &[SocketAddr], keep_ms: u64, tickets: Vec<String>) -> Where {
+fn addresses(all: &[SocketAddr], keep_ms: u64, tickets: Vec<String>) -> AddressList {
     let one = |(i, address): (usize, &SocketAddr)| Address {
         router: format!("r{i}").parse().unwrap(),
         address: *address,
         zone: "hall-a".parse().unwrap(),
         weight: if i == 0 { 1.0 } else { 0.0 },
     };
-    Where {
+    AddressList {
         addresses: all.iter().enumerate().map(one).collect(),
         keep_ms,
         tickets,
--- a/crates/callers/tests/client_body.rs
+++ b/crates/callers/tests/client_body.rs
@@ -5,13 +5,13 @@
 use {
     async_std::task,
     callers::{
-        Ask,
+        AddressList, //
         Call,
         Client,
         ClientSettings,
+        IncomingRequest,
         Limits,
         Response,
-        Where, //
     },
     common::{
         echo,
@@ -27,8 +27,8 @@
 
 static ADDRESS: OnceLock<SocketAddr> = OnceLock::new();
 
-async fn router(ask: Ask) -> Response {
-    let Ask::Where { .. } = &ask else {
+async fn router(ask: IncomingRequest) -> Response {
+    let IncomingRequest::Addresses { .. } = &ask else {
         return echo(ask).await;
     };
     let address = callers::Address {
@@ -37,7 +37,7 @@
         zone: "a".parse().unwrap(),
         weight: 1.0,
     };
-    (&Where {
+    (&AddressList {
         addresses: vec![address],
         keep_ms: 1_000,
         tickets: Vec::new(),
--- a/crates/callers/tests/common/mod.rs
+++ b/crates/callers/tests/common/mod.rs
@@ -11,7 +11,7 @@
         task, //
     },
     callers::{
-        Ask,
+        IncomingRequest,
         Limits,
         Response,
         Server, //
@@ -37,7 +37,7 @@
 /// Starts a server on a free port of loopback.
 pub async fn start<F, R>(limits: Limits, handler: F) -> (Server, SocketAddr)
 where
-    F: Fn(Ask) -> R + Send + Sync + 'static,
+    F: Fn(IncomingRequest) -> R + Send + Sync + 'static,
     R: Future<Output = Response> + Send + 'static,
 {
     let server = Server::new(limits, handler);
@@ -49,18 +49,20 @@
 }
 
 /// Answers with the body, and the request's parts as headers.
-pub async fn echo(ask: Ask) -> Response {
+pub async fn echo(ask: IncomingRequest) -> Response {
     match ask {
-        Ask::Request { request, .. } => {
+        IncomingRequest::Request { request, .. } => {
             Response::whole(200, Outcome::Answered, request.body.clone())
                 .header("x-service", request.service.to_string())
                 .header("x-target", request.target.clone())
                 .header("x-ticket", request.ticket.clone().unwrap_or_default())
                 .header("x-deadline", format!("{}", request.deadline.is_some()))
         }
-        Ask::Where { query, .. } => Response::whole(200, Outcome::Answered, Vec::new())
-            .header("x-service", query.service.to_string())
-            .header("x-tickets", query.tickets.to_string()),
+        IncomingRequest::Addresses { query, .. } => {
+            Response::whole(200, Outcome::Answered, Vec::new())
+                .header("x-service", query.service.to_string())
+                .header("x-tickets", query.tickets.to_string())
+        }
     }
 }
 
--- a/crates/callers/tests/hang_up.rs
+++ b/crates/callers/tests/hang_up.rs
@@ -12,8 +12,8 @@
         task, //
     },
     callers::{
-        Ask,
         DisconnectSignal,
+        IncomingRequest,
         Limits,
         Piece,
         Response,
@@ -42,11 +42,11 @@
     let (server, address) = start(Limits::default(), move |ask| {
         let say = say.clone();
         async move {
-            let Ask::Request { request, gone } = ask else {
+            let IncomingRequest::Request { request, gone } = ask else {
                 panic!("no address was asked for");
             };
             if request.body == b"quick" {
-                return echo(Ask::Request { request, gone }).await;
+                return echo(IncomingRequest::Request { request, gone }).await;
             }
             say.send("began").await.unwrap();
             gone.wait().await;
@@ -158,11 +158,11 @@
     let (server, address) = start(limits, move |ask| {
         let say = say.clone();
         async move {
-            let Ask::Request { gone, request } = ask else {
+            let IncomingRequest::Request { gone, request } = ask else {
                 panic!("no address was asked for");
             };
             if request.target != "/v1/x?a=1" {
-                return echo(Ask::Request { gone, request }).await;
+                return echo(IncomingRequest::Request { gone, request }).await;
             }
             let (send, pieces) = bounded(1);
             say.send((send, gone)).await.unwrap();
--- a/crates/callers/tests/server.rs
+++ b/crates/callers/tests/server.rs
@@ -9,7 +9,7 @@
         task, //
     },
     callers::{
-        Ask,
+        IncomingRequest,
         Limits,
         Piece,
         Refused,
@@ -217,7 +217,7 @@
     // are served.
     task::block_on(async {
         let (_server, address) = start(Limits::default(), |ask| async {
-            if matches!(&ask, Ask::Request { request, .. } if request.body == b"bad") {
+            if matches!(&ask, IncomingRequest::Request { request, .. } if request.body == b"bad") {
                 panic!("a fault of the test's making");
             }
             echo(ask).await
--- a/src/router/addresses.rs
+++ b/src/router/addresses.rs
@@ -7,10 +7,10 @@
     },
     callers::{
         Address,
+        AddressList,
+        AddressListQuery,
         Refused,
         Response,
-        Where,
-        WhereQuery,
         Why, //
     },
     policy::{
@@ -36,7 +36,7 @@
 
 impl Router {
     /// Answers which addresses to use for a service, the best first.
-    pub(crate) fn where_to(&self, query: &WhereQuery) -> Response {
+    pub(crate) fn where_to(&self, query: &AddressListQuery) -> Response {
         if let Err(refused) = self.ready() {
             return refused.into();
         }
@@ -51,7 +51,7 @@
         let tickets = if self.is_leaving() { 0 } else { query.tickets };
         let now = self.now();
         let issued = lock(&self.tickets).issue(tickets, now);
-        let answer = Where {
+        let answer = AddressList {
             addresses,
             keep_ms: KEEP_MS,
             tickets: issued.iter().map(ToString::to_string).collect(),
@@ -60,7 +60,7 @@
         (&answer).into()
     }
 
-    fn ranked(&self, query: &WhereQuery) -> Vec<Address> {
+    fn ranked(&self, query: &AddressListQuery) -> Vec<Address> {
         let view = lock(&self.members).view();
         let slots = self.slots(query);
         let total: u32 = slots.values().sum();
@@ -93,7 +93,7 @@
         keyed.into_iter().map(|(_, a)| a).take(MOST).collect()
     }
 
-    fn slots(&self, query: &WhereQuery) -> HashMap<String, u32> {
+    fn slots(&self, query: &AddressListQuery) -> HashMap<String, u32> {
         let owners = lock(&self.dispatch).preferred_routers(&query.service);
         let mut slots: HashMap<String, u32> = HashMap::new();
         for o in owners {
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -10,8 +10,8 @@
         work::Work, //
     },
     callers::{
-        Ask,
         DisconnectSignal,
+        IncomingRequest,
         Refused,
         Request,
         Response,
@@ -42,10 +42,10 @@
 const READY_AGAIN: Duration = Duration::from_millis(500);
 
 /// Answers a caller.
-pub(crate) async fn handle(router: Arc<Router>, ask: Ask) -> Response {
+pub(crate) async fn handle(router: Arc<Router>, ask: IncomingRequest) -> Response {
     match ask {
-        Ask::Where { query, .. } => router.where_to(&query),
-        Ask::Request { request, gone } => {
+        IncomingRequest::Addresses { query, .. } => router.where_to(&query),
+        IncomingRequest::Request { request, gone } => {
             let response = match admit(&router, *request) {
                 Ok(work) => serve(router, work, gone).await,
                 Err(refused) => refused.into(),
--- a/src/router/tests/stage.rs
+++ b/src/router/tests/stage.rs
@@ -12,9 +12,9 @@
     },
     async_std::task,
     callers::{
-        Ask,
         Body,
         DisconnectSignal,
+        IncomingRequest,
         Piece,
         Request,
         RequestId,
@@ -133,7 +133,7 @@
     ) -> Got {
         let router = self.routers[router].router.clone();
         let request = Box::new(request);
-        let response = handle(router, Ask::Request { request, gone }).await;
+        let response = handle(router, IncomingRequest::Request { request, gone }).await;
         got(response).await
     }
 
--- a/tests/call.rs
+++ b/tests/call.rs
@@ -8,14 +8,14 @@
     },
     callers::{
         Address,
-        Ask,
+        AddressList,
+        IncomingRequest,
         Limits,
         Piece,
         Refused,
         Request,
         Response,
         Server,
-        Where,
         Why, //
     },
     policy::Outcome,
@@ -42,16 +42,16 @@
     let address = listener.local_addr().unwrap();
     let server = Server::new(Limits::default(), move |ask| async move {
         match ask {
-            Ask::Where { query, .. } => (&locate(address, query.tickets)).into(),
-            Ask::Request { request, .. } => answer(&request),
+            IncomingRequest::Addresses { query, .. } => (&locate(address, query.tickets)).into(),
+            IncomingRequest::Request { request, .. } => answer(&request),
         }
     });
     task::spawn(async move { server.serve(TcpListener::from(listener)).await });
     address
 }
 
-fn locate(address: SocketAddr, tickets: u32) -> Where {
-    Where {
+fn locate(address: SocketAddr, tickets: u32) -> AddressList {
+    AddressList {
         addresses: vec![Address {
             router: "router-1".parse().unwrap(),
             address,
@@ -173,6 +173,6 @@
         assert!(stdout.contains(text), "no `{text}` in\n{stdout}");
     }
     let output = chervilwind(&[&args[..], &["--json"]].concat());
-    let answer: Where = serde_json::from_slice(&output.stdout).unwrap();
+    let answer: AddressList = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(answer, locate(router.parse().unwrap(), 2));
 }
--- a/tests/proofs/stage/calls.rs
+++ b/tests/proofs/stage/calls.rs
@@ -12,9 +12,9 @@
         },
     },
     callers::{
+        AddressList,
         Call,
         Refused,
-        Where,
         Why,
         DEADLINE_MS,
         OUTCOME,
@@ -143,7 +143,7 @@
         response.body_bytes().await.ok()
     };
     let body = timeout(LOST, exchange).await.ok()??;
-    let answer: Where = serde_json::from_slice(&body).ok()?;
+    let answer: AddressList = serde_json::from_slice(&body).ok()?;
     Some(answer.tickets)
 }
 
