--- a/crates/callers/src/addresses.rs
+++ b/crates/callers/src/addresses.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
+        Reason, //
         Refused,
-        Why, //
     },
     policy::{
         RouterId,
@@ -44,7 +44,7 @@
 pub struct Address {
     /// The router.
     pub router: RouterId,
-    /// AddressList it takes requests.
+    /// Where it takes requests.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
@@ -93,7 +93,7 @@
         }
         let service = service.ok_or_else(|| {
             Refused::new(
-                Why::BadRequest,
+                Reason::BadRequest,
                 "the query names no service; ask with `?service=NAME`",
             )
         })?;
@@ -112,7 +112,7 @@
 {
     value.parse().map_err(|e: T::Err| {
         Refused::new(
-            Why::BadRequest,
+            Reason::BadRequest,
             format!("`{name}` in the query is not usable: {e}"),
         )
     })
--- a/crates/callers/src/client/call.rs
+++ b/crates/callers/src/client/call.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
+        Reason, //
         Refused,
-        Why, //
     },
     policy::{
         Outcome,
@@ -103,14 +103,14 @@
 
     pub(crate) fn lost() -> Answer {
         Answer::refused(Refused::new(
-            Why::AnswerLost,
+            Reason::AnswerLost,
             "the answer was lost; look whether it ran before asking again",
         ))
     }
 
     pub(crate) fn unreachable(router: SocketAddr) -> Answer {
         Answer::refused(Refused::new(
-            Why::NoEndpoint,
+            Reason::NoEndpoint,
             format!("no router at {router}; check the addresses given"),
         ))
     }
--- a/crates/callers/src/client/steps.rs
+++ b/crates/callers/src/client/steps.rs
@@ -17,8 +17,8 @@
     },
     crate::{
         AddressList,
+        Reason,
         Refused,
-        Why,
         WHERE_PATH, //
     },
     async_std::task,
@@ -84,7 +84,7 @@
         if let Some(answer) = known.answer(service) {
             return Ok(answer);
         }
-        let mut last = Refused::new(Why::NoEndpoint, "no router is known; give an address");
+        let mut last = Refused::new(Reason::NoEndpoint, "no router is known; give an address");
         let mut asked = known.stale(service);
         asked.extend(&self.0.settings.routers);
         for router in asked {
@@ -191,7 +191,7 @@
         let deadline = call.deadline.map(|_| progress.until);
         let Some(http) = request_of(call, router, deadline, progress.ticket.as_deref()) else {
             let bad = "the method, path or a header can't be sent; use printable ASCII";
-            return Tried::Whole(Answer::refused(Refused::new(Why::BadRequest, bad)));
+            return Tried::Whole(Answer::refused(Refused::new(Reason::BadRequest, bad)));
         };
         let exchange = Exchange {
             pool: &self.0.pool,
@@ -228,7 +228,7 @@
         known.keep_tickets(service, router, &answer);
         known.ticket(service, router).ok_or_else(|| {
             Refused::new(
-                Why::TicketNeeded,
+                Reason::TicketNeeded,
                 "the router gave no ticket; ask another one",
             )
         })
@@ -247,7 +247,7 @@
     ) -> Result<AddressList, Refused> {
         let unreachable = || {
             Refused::new(
-                Why::NoEndpoint,
+                Reason::NoEndpoint,
                 format!("no router answers at {router}; check the address"),
             )
         };
@@ -267,7 +267,7 @@
             Some(refused) => Err(refused),
             None => serde_json::from_slice(&answer.body).map_err(|e| {
                 Refused::new(
-                    Why::BadRequest,
+                    Reason::BadRequest,
                     format!("{router} is no router of the fleet ({e}); check the address"),
                 )
             }),
@@ -339,14 +339,14 @@
 
     /// Returns whether nobody remembers the ticket.
     fn orphaned(&self) -> bool {
-        let why = self.last.refused.as_ref().map(|r| r.why);
-        why == Some(Why::TicketOrphaned)
+        let reason = self.last.refused.as_ref().map(|r| r.reason);
+        reason == Some(Reason::TicketOrphaned)
     }
 
     /// Returns when to ask again under the same ticket, where its request still runs.
     fn runs_on(&self) -> Option<Duration> {
         let refused = self.last.refused.as_ref();
-        let running = refused.filter(|r| r.why == Why::TicketRunning)?;
+        let running = refused.filter(|r| r.reason == Reason::TicketRunning)?;
         let pause = Duration::from_millis(running.retry_ms.unwrap_or(0)).max(RUNS_PAUSE);
         (Instant::now() + pause < self.until).then_some(pause)
     }
@@ -367,22 +367,22 @@
 
     /// Returns whether the last outcome is that of the ticket, not of the last try only.
     fn of_ticket(&self) -> bool {
-        let why = self.last.refused.as_ref().map(|r| r.why);
-        matches!(why, Some(Why::TicketUsed | Why::TicketExpired))
+        let reason = self.last.refused.as_ref().map(|r| r.reason);
+        matches!(reason, Some(Reason::TicketUsed | Reason::TicketExpired))
     }
 
     /// Returns whether the last refusal may be followed by a try at another router.
     fn follows(&self) -> bool {
         let elsewhere = matches!(
-            self.last.refused.as_ref().map(|r| r.why),
+            self.last.refused.as_ref().map(|r| r.reason),
             Some(
-                Why::QueueFull
-                    | Why::TooManyConnections
-                    | Why::NoEndpoint
-                    | Why::Leaving
-                    | Why::NotReady
-                    | Why::TicketExpired
-                    | Why::TicketOrphaned
+                Reason::QueueFull
+                    | Reason::TooManyConnections
+                    | Reason::NoEndpoint
+                    | Reason::Leaving
+                    | Reason::NotReady
+                    | Reason::TicketExpired
+                    | Reason::TicketOrphaned
             )
         );
         elsewhere && self.last.outcome == Outcome::NotRun
--- a/crates/callers/src/connection.rs
+++ b/crates/callers/src/connection.rs
@@ -12,11 +12,11 @@
         Body,
         DisconnectSignal,
         IncomingRequest,
+        Reason, //
         Refused,
         Request,
         RequestId,
         Response,
-        Why, //
     },
     async_h1::server::Encoder,
     async_std::{
@@ -145,7 +145,7 @@
         };
         timeout(limits.head_time, read).await.unwrap_or_else(|_| {
             Err(Refused::new(
-                Why::HeadTimeout,
+                Reason::HeadTimeout,
                 "the head did not come in time; send it in one go",
             )
             .into())
@@ -163,7 +163,7 @@
             Ok(None) => return Err(Stop::Closed),
             Err(e) => {
                 return Err(Refused::new(
-                    Why::BadRequest,
+                    Reason::BadRequest,
                     format!("this is no HTTP/1.1 request ({e}); check what is sent"),
                 )
                 .into())
@@ -222,12 +222,12 @@
         match (read, head.framing) {
             (Err(_), _) if time < limits.body_time => Err(parse::expired().into()),
             (Err(_), _) => Err(Refused::new(
-                Why::BodyTimeout,
+                Reason::BodyTimeout,
                 "the body did not come in time; send it in one go",
             )
             .into()),
             (Ok(Err(e)), _) if e.kind() == io::ErrorKind::InvalidData => Err(Refused::new(
-                Why::BadRequest,
+                Reason::BadRequest,
                 "the body's chunks are malformed; check what is sent",
             )
             .into()),
@@ -252,7 +252,7 @@
             // One request's fault must not end the connection without an answer.
             log::error!("callers: the handler of request {id:?} panicked");
             let fault = "a fault in the router; its log names this request";
-            Refused::new(Why::Internal, fault).into()
+            Refused::new(Reason::Internal, fault).into()
         });
         if gone.has_fired() {
             return Err(Stop::Closed);
@@ -322,7 +322,7 @@
 
 fn head_too_large(most: usize) -> Refused {
     Refused::new(
-        Why::HeadTooLarge,
+        Reason::HeadTooLarge,
         format!("the head is too long; send at most {most} bytes"),
     )
 }
--- a/crates/callers/src/parse.rs
+++ b/crates/callers/src/parse.rs
@@ -15,10 +15,10 @@
         },
         AddressListQuery,
         Limits,
+        Reason, //
         Refused,
         Request,
         RequestId,
-        Why, //
     },
     std::{
         fmt,
@@ -52,7 +52,7 @@
     let text = |b: &u8| matches!(b, b' '..=b'~' | b'\t' | b'\r' | b'\n');
     if !head.iter().all(text) {
         return Err(Refused::new(
-            Why::BadHeader,
+            Reason::BadHeader,
             "the head holds bytes that are not text; use printable ASCII in headers",
         ));
     }
@@ -60,7 +60,7 @@
     let count = head.split(|b| *b == b'\n').count().saturating_sub(3);
     if count > limits.head_count {
         return Err(Refused::new(
-            Why::HeadTooLarge,
+            Reason::HeadTooLarge,
             format!(
                 "the head has {count} headers; send at most {}",
                 limits.head_count
@@ -78,7 +78,7 @@
 pub(crate) fn framing(http: &http_types::Request, limits: &Limits) -> Result<Framing, Refused> {
     let lengths = http.header("content-length");
     let coding = http.header("transfer-encoding");
-    let bad = |what: &str| Refused::new(Why::BadRequest, what);
+    let bad = |what: &str| Refused::new(Reason::BadRequest, what);
     match (lengths, coding) {
         (None, None) => Ok(Framing::Empty),
         (Some(_), Some(_)) => Err(bad(
@@ -110,7 +110,7 @@
 
 pub(crate) fn too_large(limits: &Limits) -> Refused {
     Refused::new(
-        Why::BodyTooLarge,
+        Reason::BodyTooLarge,
         format!(
             "the body is too long; send at most {} bytes",
             limits.body_bytes
@@ -130,7 +130,7 @@
     }
     if path.starts_with(OWN_PATHS) {
         return Err(Refused::new(
-            Why::UnknownPath,
+            Reason::UnknownPath,
             format!("no such path; ask for addresses at `{WHERE_PATH}?service=NAME`"),
         ));
     }
@@ -156,7 +156,7 @@
 fn where_query(http: &http_types::Request) -> Result<AddressListQuery, Refused> {
     if http.method() != http_types::Method::Get {
         return Err(Refused::new(
-            Why::BadRequest,
+            Reason::BadRequest,
             format!("ask for addresses with `GET {WHERE_PATH}`"),
         ));
     }
@@ -196,7 +196,7 @@
     };
     let ms: i64 = text.parse().map_err(|_| {
         Refused::new(
-            Why::BadDeadline,
+            Reason::BadDeadline,
             format!("`{DEADLINE_MS}: {text}` is no whole number; give the milliseconds left"),
         )
     })?;
@@ -209,7 +209,7 @@
 /// The refusal of a request whose deadline passed before any endpoint saw it.
 pub(crate) fn expired() -> Refused {
     Refused::new(
-        Why::Expired,
+        Reason::Expired,
         format!("the deadline has passed; give the milliseconds left in `{DEADLINE_MS}`"),
     )
 }
@@ -220,7 +220,7 @@
 {
     optional(http, name)?.ok_or_else(|| {
         Refused::new(
-            Why::BadHeader,
+            Reason::BadHeader,
             format!("the header `{name}` is missing; add it"),
         )
     })
@@ -235,7 +235,7 @@
     };
     text.parse().map(Some).map_err(|e: T::Err| {
         Refused::new(
-            Why::BadHeader,
+            Reason::BadHeader,
             format!("the header `{name}` is not usable: {e}"),
         )
     })
@@ -246,7 +246,7 @@
         None => Ok(None),
         Some(values) if values.iter().count() == 1 => Ok(Some(values.as_str().trim())),
         Some(_) => Err(Refused::new(
-            Why::BadHeader,
+            Reason::BadHeader,
             format!("the header `{name}` stands twice; send it once"),
         )),
     }
--- a/crates/callers/src/refused.rs
+++ b/crates/callers/src/refused.rs
@@ -18,7 +18,7 @@
 /// Why a request was refused or could not be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
+pub enum Reason {
     /// The bytes are no HTTP/1.1 request.
     BadRequest,
     /// A header of ours is missing or malformed, or a header is not text.
@@ -84,7 +84,8 @@
     /// What is known of the request.
     pub outcome: Outcome,
     /// The cause, for programs.
-    pub why: Why,
+    #[serde(rename = "why")]
+    pub reason: Reason,
     /// The cause and its remedy, for people.
     pub message: String,
     /// Milliseconds after which it may be sent again, where that makes sense.
@@ -93,21 +94,21 @@
 }
 
 impl Refused {
-    /// Makes a refusal with the outcome that `why` usually has.
+    /// Makes a refusal with the outcome that `reason` usually has.
     ///
     /// # Examples
     ///
     /// ```
-    /// use callers::{Refused, Why};
+    /// use callers::{Refused, Reason};
     ///
-    /// let refused = Refused::new(Why::QueueFull, "send fewer requests at once");
+    /// let refused = Refused::new(Reason::QueueFull, "send fewer requests at once");
     /// assert_eq!(refused.outcome, policy::Outcome::NotRun);
-    /// assert_eq!(refused.why.status(), 429);
+    /// assert_eq!(refused.reason.status(), 429);
     /// ```
-    pub fn new(why: Why, message: impl Into<String>) -> Refused {
+    pub fn new(reason: Reason, message: impl Into<String>) -> Refused {
         Refused {
-            outcome: why.outcome(),
-            why,
+            outcome: reason.outcome(),
+            reason,
             message: message.into(),
             retry_ms: None,
         }
@@ -127,72 +128,75 @@
 
     /// Makes the refusal that a decision of the policy stands for.
     pub fn from_policy(refusal: Refusal) -> Refused {
-        let (why, message) = match refusal {
+        let (reason, message) = match refusal {
             Refusal::QueueFull => (
-                Why::QueueFull,
+                Reason::QueueFull,
                 "the workspace has too many requests queued; come back after retry_ms",
             ),
             Refusal::Late => (
-                Why::Late,
+                Reason::Late,
                 "it can't be answered within its deadline; allow more time or come back later",
             ),
             Refusal::Expired => (
-                Why::Expired,
+                Reason::Expired,
                 "its deadline passed while it was queued; allow more time",
             ),
             Refusal::NoEndpoint => (
-                Why::NoEndpoint,
+                Reason::NoEndpoint,
                 "no endpoint of the service takes work; come back after retry_ms",
             ),
             Refusal::Leaving => (
-                Why::Leaving,
+                Reason::Leaving,
                 "this router is shutting down; use another address",
             ),
             Refusal::Budget => (
-                Why::RetryBudget,
+                Reason::RetryBudget,
                 "too many requests had to be retried; come back after retry_ms",
             ),
         };
-        Refused::new(why, message)
+        Refused::new(reason, message)
     }
 }
 
-impl Why {
+impl Reason {
     /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
-            Why::BadRequest | Why::BadHeader | Why::BadDeadline => 400,
-            Why::UnknownPath
-            | Why::UnknownService
-            | Why::UnknownWorkspace
-            | Why::UnknownProfile => 404,
-            Why::HeadTimeout | Why::BodyTimeout => 408,
-            Why::TicketExpired | Why::TicketRunning | Why::TicketUsed | Why::TicketOrphaned => 409,
-            Why::BodyTooLarge => 413,
-            Why::TicketNeeded => 428,
-            Why::QueueFull => 429,
-            Why::HeadTooLarge => 431,
-            Why::Internal => 500,
-            Why::AnswerLost | Why::EndpointFailed => 502,
-            Why::TooManyConnections
-            | Why::NoEndpoint
-            | Why::Leaving
-            | Why::NotReady
-            | Why::RetryBudget => 503,
-            Why::Late | Why::Expired | Why::TimedOut => 504,
+            Reason::BadRequest | Reason::BadHeader | Reason::BadDeadline => 400,
+            Reason::UnknownPath
+            | Reason::UnknownService
+            | Reason::UnknownWorkspace
+            | Reason::UnknownProfile => 404,
+            Reason::HeadTimeout | Reason::BodyTimeout => 408,
+            Reason::TicketExpired
+            | Reason::TicketRunning
+            | Reason::TicketUsed
+            | Reason::TicketOrphaned => 409,
+            Reason::BodyTooLarge => 413,
+            Reason::TicketNeeded => 428,
+            Reason::QueueFull => 429,
+            Reason::HeadTooLarge => 431,
+            Reason::Internal => 500,
+            Reason::AnswerLost | Reason::EndpointFailed => 502,
+            Reason::TooManyConnections
+            | Reason::NoEndpoint
+            | Reason::Leaving
+            | Reason::NotReady
+            | Reason::RetryBudget => 503,
+            Reason::Late | Reason::Expired | Reason::TimedOut => 504,
         }
     }
 
     /// Returns the outcome, unless the one who refuses knows better.
     pub fn outcome(self) -> Outcome {
         match self {
-            Why::TicketRunning
-            | Why::TicketUsed
-            | Why::TicketOrphaned
-            | Why::TimedOut
-            | Why::AnswerLost
-            | Why::Internal => Outcome::MayHaveRun,
-            Why::EndpointFailed => Outcome::Failed,
+            Reason::TicketRunning
+            | Reason::TicketUsed
+            | Reason::TicketOrphaned
+            | Reason::TimedOut
+            | Reason::AnswerLost
+            | Reason::Internal => Outcome::MayHaveRun,
+            Reason::EndpointFailed => Outcome::Failed,
             _ => Outcome::NotRun,
         }
     }
--- a/crates/callers/src/response.rs
+++ b/crates/callers/src/response.rs
@@ -142,7 +142,7 @@
 
 impl From<Refused> for Response {
     fn from(refused: Refused) -> Response {
-        let mut response = Response::json(refused.why.status(), &refused);
+        let mut response = Response::json(refused.reason.status(), &refused);
         response.outcome = Some(refused.outcome);
         response.retry = refused.retry_ms.map(Duration::from_millis);
         response
--- a/crates/callers/src/server.rs
+++ b/crates/callers/src/server.rs
@@ -7,9 +7,9 @@
         wire::Wire,
         IncomingRequest,
         Limits,
+        Reason, //
         Refused,
         Response,
-        Why, //
     },
     async_std::{
         channel::{
@@ -198,7 +198,7 @@
         log::debug!("callers: too many connections, turned {peer} away");
         task::spawn(async move {
             let refused = Refused::new(
-                Why::TooManyConnections,
+                Reason::TooManyConnections,
                 "too many connections; reuse those you have, or use another address",
             )
             .retry_after(AWAY_RETRY);
--- a/crates/callers/src/stream_body.rs
+++ b/crates/callers/src/stream_body.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         Piece,
+        Reason, //
         Refused,
-        Why, //
     },
     async_std::channel::Receiver,
     futures_lite::{
@@ -73,7 +73,7 @@
             // The handler's task died, or forgot the end. Taking this for the end would show a
             // cut answer as whole, so only `End` ends a body.
             None => self.fail(&Refused::new(
-                Why::AnswerLost,
+                Reason::AnswerLost,
                 "the answer was cut; ask again if the request may be repeated",
             )),
         }
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -18,9 +18,9 @@
         IncomingRequest,
         Limits,
         Piece,
+        Reason, //
         Refused,
         Response,
-        Why, //
     },
     common::{
         soon,
@@ -167,15 +167,15 @@
 }
 
 fn leaving(_: &callers::Request) -> Response {
-    Refused::new(Why::Leaving, "use another address").into()
+    Refused::new(Reason::Leaving, "use another address").into()
 }
 
 fn logged(log: &Log) -> Vec<String> {
     std::mem::take(&mut log.lock().unwrap())
 }
 
-fn why(answer: &Answer) -> Option<Why> {
-    answer.refused.as_ref().map(|r| r.why)
+fn why(answer: &Answer) -> Option<Reason> {
+    answer.refused.as_ref().map(|r| r.reason)
 }
 
 #[test]
@@ -217,11 +217,11 @@
     // What may have run, and what every router would refuse, goes to no other router.
     task::block_on(async {
         for reason in [
-            Why::AnswerLost,
-            Why::EndpointFailed,
-            Why::TicketOrphaned,
-            Why::UnknownProfile,
-            Why::Expired,
+            Reason::AnswerLost,
+            Reason::EndpointFailed,
+            Reason::TicketOrphaned,
+            Reason::UnknownProfile,
+            Reason::Expired,
         ] {
             let log = Log::default();
             let a = router("a", &log, move |_| Refused::new(reason, "no").into()).await;
@@ -246,7 +246,7 @@
         assert_eq!(answer.outcome, Outcome::Answered);
         let none = soon(client(down).call(&call())).await;
         assert_eq!(none.outcome, Outcome::NotRun);
-        assert_eq!(why(&none), Some(Why::NoEndpoint));
+        assert_eq!(why(&none), Some(Reason::NoEndpoint));
     });
 }
 
@@ -289,7 +289,7 @@
 }
 
 fn orphaned(_: &callers::Request) -> Response {
-    Refused::new(Why::TicketOrphaned, "nobody remembers").into()
+    Refused::new(Reason::TicketOrphaned, "nobody remembers").into()
 }
 
 // A registrar's renewal "may have run" whenever routers are replaced, and she reissues it by
@@ -366,11 +366,12 @@
     task::block_on(async {
         let log = Log::default();
         let a = breaking(&log, "a", "").await;
-        let used = Refused::new(Why::TicketUsed, "its answer is gone").outcome(Outcome::Answered);
+        let used =
+            Refused::new(Reason::TicketUsed, "its answer is gone").outcome(Outcome::Answered);
         let b = router("b", &log, move |_| used.clone().into()).await;
         let answer = soon(client(guide(&log, &[a, b], 0).await).call(&once())).await;
         assert_eq!(answer.outcome, Outcome::Answered);
-        assert_eq!(why(&answer), Some(Why::TicketUsed));
+        assert_eq!(why(&answer), Some(Reason::TicketUsed));
         assert_eq!(logged(&log), ["guide", "a a.t", "b a.t"]);
     });
 }
@@ -385,7 +386,7 @@
         let asked = Arc::new(AtomicUsize::new(0));
         let b = router("b", &log, move |request| {
             match asked.fetch_add(1, Ordering::SeqCst) {
-                0 | 1 => Refused::new(Why::TicketRunning, "ask again")
+                0 | 1 => Refused::new(Reason::TicketRunning, "ask again")
                     .retry_after(Duration::from_millis(1))
                     .into(),
                 _ => answered(request),
@@ -463,10 +464,10 @@
     // A stream is cut after its first piece was passed on. It is not asked for again: the
     // pieces of two answers can't be joined. Its last event tells what is known.
     task::block_on(async {
-        let fail = || Piece::Fail(Refused::new(Why::EndpointFailed, "out of memory"));
+        let fail = || Piece::Fail(Refused::new(Reason::EndpointFailed, "out of memory"));
         for (part, reason, outcome) in [
-            ("data: a\n\n", Why::EndpointFailed, Outcome::Failed),
-            ("data: a", Why::AnswerLost, Outcome::MayHaveRun),
+            ("data: a\n\n", Reason::EndpointFailed, Outcome::Failed),
+            ("data: a", Reason::AnswerLost, Outcome::MayHaveRun),
         ] {
             let log = Log::default();
             let a = router("a", &log, move |_| pieces(&[part], fail())).await;
--- a/crates/callers/tests/server.rs
+++ b/crates/callers/tests/server.rs
@@ -12,10 +12,10 @@
         IncomingRequest,
         Limits,
         Piece,
+        Reason, //
         Refused,
         Response,
         Server,
-        Why, //
     },
     common::{
         echo,
@@ -129,7 +129,7 @@
 fn refusal_headers() {
     task::block_on(async {
         let (_server, address) = start(Limits::default(), |_| async {
-            Refused::new(Why::QueueFull, "come back later")
+            Refused::new(Reason::QueueFull, "come back later")
                 .retry_after(Duration::from_millis(1200))
                 .into()
         })
@@ -179,7 +179,7 @@
     // An endpoint dies in the middle of an answer. The caller must not take the half for the
     // whole: it gets an error event, and the connection ends without the last chunk.
     task::block_on(async {
-        let refused = Refused::new(Why::AnswerLost, "cut");
+        let refused = Refused::new(Reason::AnswerLost, "cut");
         let event = cut("text/event-stream", "data: a\n\n", Some(refused.clone())).await;
         assert!(
             event.contains("event: error\ndata: {\"outcome\":\"may-have-run\""),
--- a/src/errors.rs
+++ b/src/errors.rs
@@ -6,8 +6,8 @@
         SettingsError, //
     },
     callers::{
+        Reason, //
         Refused,
-        Why, //
     },
     kvstore::store::{
         ApplyError,
@@ -90,8 +90,8 @@
     /// Makes an error of a refusal that no request was sent for.
     pub(crate) fn from_refused(refused: &Refused) -> Error {
         let message = refused.message.clone();
-        match refused.why {
-            Why::NoEndpoint => Error::NoRouter(message),
+        match refused.reason {
+            Reason::NoEndpoint => Error::NoRouter(message),
             _ => Error::Request(Outcome::NotRun, message),
         }
     }
--- a/src/measure/load.rs
+++ b/src/measure/load.rs
@@ -195,7 +195,7 @@
 impl Sums {
     fn note(&mut self, answer: &Answer, expected: &str, first: Duration) {
         let cause = || match &answer.refused {
-            Some(refused) => format!("{:?}", refused.why),
+            Some(refused) => format!("{:?}", refused.reason),
             None => "no cause given".to_owned(),
         };
         match answer.outcome {
--- a/src/router/addresses.rs
+++ b/src/router/addresses.rs
@@ -9,9 +9,9 @@
         Address,
         AddressList,
         AddressListQuery,
+        Reason, //
         Refused,
         Response,
-        Why, //
     },
     policy::{
         members::{
@@ -41,7 +41,7 @@
             return refused.into();
         }
         if let Err(e) = self.fleet().service(query.service.as_str()) {
-            return Refused::new(Why::UnknownService, e.to_string()).into();
+            return Refused::new(Reason::UnknownService, e.to_string()).into();
         }
         let mut addresses = self.ranked(query);
         // Nobody else may be left to name, as when all are told to end at once.
--- a/src/router/claims.rs
+++ b/src/router/claims.rs
@@ -15,9 +15,9 @@
         work::Work, //
     },
     callers::{
+        Reason, //
         Refused,
         Response,
-        Why, //
     },
     policy::{
         members::State,
@@ -104,10 +104,10 @@
     /// What the caller is told instead.
     pub(crate) async fn claim(&self, work: &Work) -> Result<Grant, Box<Response>> {
         let text = work.ticket.as_deref();
-        let text = text.ok_or_else(|| refuse(Why::TicketNeeded, NEEDED))?;
+        let text = text.ok_or_else(|| refuse(Reason::TicketNeeded, NEEDED))?;
         let ticket: Ticket = text
             .parse()
-            .map_err(|e| refuse(Why::BadHeader, &format!("{e}")))?;
+            .map_err(|e| refuse(Reason::BadHeader, &format!("{e}")))?;
         let now = self.now();
         let mut claim = lock(&self.tickets).claim(&ticket, now);
         for _ in 0..HOPS {
@@ -122,7 +122,7 @@
             let now = self.now();
             claim = lock(&self.tickets).apply_reply(&ticket, reply, now);
         }
-        Err(refuse(Why::TicketOrphaned, ORPHANED))
+        Err(refuse(Reason::TicketOrphaned, ORPHANED))
     }
 
     async fn ask_holder(&self, ask: &TransferRequest, deadline: Instant) -> Option<TransferReply> {
@@ -144,7 +144,7 @@
     /// A holder that is paused or cut off may come back and know, also after it was taken for
     /// dead; one that left, or was started again, never will.
     fn silent_holder(&self, ask: &TransferRequest) -> Response {
-        let refused = Refused::new(Why::TicketOrphaned, ORPHANED);
+        let refused = Refused::new(Reason::TicketOrphaned, ORPHANED);
         let members = lock(&self.members);
         let holder = members.get(&ask.holder.router);
         let same = holder.filter(|m| m.incarnation == ask.holder.incarnation);
@@ -182,7 +182,7 @@
 const ANOTHER: &str = "this ticket was used for another request, and this one did not run; \
     ask for a ticket of its own";
 
-fn refuse(why: Why, message: &str) -> Box<Response> {
+fn refuse(why: Reason, message: &str) -> Box<Response> {
     Box::new(Refused::new(why, message).into())
 }
 
@@ -191,16 +191,16 @@
     let refused = match claim {
         Claim::Done(record) => return again(record, print),
         Claim::Running => Refused::new(
-            Why::TicketRunning,
+            Reason::TicketRunning,
             "a request with this ticket runs; ask again with the same ticket for its answer",
         )
         .retry_after(AGAIN),
         Claim::Expired => Refused::new(
-            Why::TicketExpired,
+            Reason::TicketExpired,
             "the ticket expired unused; ask for a new one",
         ),
         Claim::Unknown | Claim::Granted(_) | Claim::AskHolder(_) => Refused::new(
-            Why::TicketOrphaned,
+            Reason::TicketOrphaned,
             "nobody remembers this ticket any more, so the request may have run; look \
              whether it did before you ask for a new one",
         ),
@@ -215,7 +215,7 @@
     // A caller that uses a ticket for a second request by mistake would get the answer to
     // the first, and believe that both were done.
     if recorded.as_ref().is_some_and(|r| r.print != print) {
-        return Refused::new(Why::TicketUsed, ANOTHER)
+        return Refused::new(Reason::TicketUsed, ANOTHER)
             .outcome(Outcome::NotRun)
             .into();
     }
@@ -226,7 +226,7 @@
             response
         }
         None => Refused::new(
-            Why::TicketUsed,
+            Reason::TicketUsed,
             format!(
                 "the request with this ticket ended ({}), and its answer is not kept",
                 record.outcome
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -12,10 +12,10 @@
     callers::{
         DisconnectSignal,
         IncomingRequest,
+        Reason, //
         Refused,
         Request,
         Response,
-        Why, //
     },
     operators::{
         Fleet,
@@ -71,7 +71,7 @@
 fn admit(router: &Router, r: Request) -> Result<Work, Refused> {
     if router.is_leaving() {
         return Err(Refused::new(
-            Why::Leaving,
+            Reason::Leaving,
             "this router is shutting down; ask another which address to use",
         )
         .retry_after(Duration::ZERO));
@@ -109,7 +109,7 @@
             return Ok(force.fleet.clone());
         }
         Err(Refused::new(
-            Why::NotReady,
+            Reason::NotReady,
             "this router has no configuration yet; ask another which address to use",
         )
         .retry_after(READY_AGAIN))
@@ -143,9 +143,9 @@
 
 fn unknown(e: UnknownName) -> Refused {
     let why = match &e {
-        UnknownName::Service(_) => Why::UnknownService,
-        UnknownName::Profile(_) => Why::UnknownProfile,
-        UnknownName::Workspace(_) => Why::UnknownWorkspace,
+        UnknownName::Service(_) => Reason::UnknownService,
+        UnknownName::Profile(_) => Reason::UnknownProfile,
+        UnknownName::Workspace(_) => Reason::UnknownWorkspace,
     };
     Refused::new(why, e.to_string())
 }
--- a/src/router/told.rs
+++ b/src/router/told.rs
@@ -6,9 +6,9 @@
         SILENCE, //
     },
     callers::{
+        Reason, //
         Refused,
         Response,
-        Why, //
     },
     endpoints::{
         CallError,
@@ -54,10 +54,10 @@
         .as_ref()
         .map_or("no cause is known".to_owned(), |c| c.to_string());
     let (why, message) = match end.outcome {
-        Outcome::NotRun => (Why::NoEndpoint, format!("no endpoint took it: {cause}")),
-        Outcome::Failed => (Why::EndpointFailed, cause),
-        _ if end.cause == Some(CallError::Deadline) => (Why::TimedOut, cause),
-        _ => (Why::AnswerLost, format!("it may have run: {cause}")),
+        Outcome::NotRun => (Reason::NoEndpoint, format!("no endpoint took it: {cause}")),
+        Outcome::Failed => (Reason::EndpointFailed, cause),
+        _ if end.cause == Some(CallError::Deadline) => (Reason::TimedOut, cause),
+        _ => (Reason::AnswerLost, format!("it may have run: {cause}")),
     };
     let refused = Refused::new(why, message).outcome(end.outcome);
     match end.outcome {
@@ -67,13 +67,13 @@
 }
 
 pub(crate) fn gone_response(outcome: Outcome) -> Response {
-    Refused::new(Why::AnswerLost, "the caller hung up")
+    Refused::new(Reason::AnswerLost, "the caller hung up")
         .outcome(outcome)
         .into()
 }
 
 pub(crate) fn internal(message: &str) -> Response {
-    Refused::new(Why::Internal, message)
+    Refused::new(Reason::Internal, message)
         .outcome(Outcome::NotRun)
         .into()
 }
--- a/tests/call.rs
+++ b/tests/call.rs
@@ -12,11 +12,11 @@
         IncomingRequest,
         Limits,
         Piece,
+        Reason, //
         Refused,
         Request,
         Response,
         Server,
-        Why, //
     },
     policy::Outcome,
     std::{
@@ -66,8 +66,8 @@
 
 fn answer(request: &Request) -> Response {
     match request.target.as_str() {
-        "/late" => Refused::new(Why::Late, "allow more time").into(),
-        "/lost" => Refused::new(Why::AnswerLost, "look whether it ran").into(),
+        "/late" => Refused::new(Reason::Late, "allow more time").into(),
+        "/lost" => Refused::new(Reason::AnswerLost, "look whether it ran").into(),
         "/failed" => Response::whole(500, Outcome::Failed, b"no ink".to_vec()),
         "/v1/chat/completions" => stream(),
         target => {
--- a/tests/proofs/once.rs
+++ b/tests/proofs/once.rs
@@ -16,7 +16,7 @@
         Work, //
     },
     async_std::task::block_on,
-    callers::Why,
+    callers::Reason,
     policy::Outcome,
     standins::{
         platform::Down,
@@ -203,7 +203,7 @@
         for r in &replies {
             match r.outcome {
                 Outcome::Answered => assert!(work.is_right(&r.body)),
-                _ => assert_eq!(r.why, Some(Why::TicketRunning)),
+                _ => assert_eq!(r.why, Some(Reason::TicketRunning)),
             }
         }
         assert_answered(&again(&fleet, 2, &work, &ticket), &work);
@@ -218,7 +218,7 @@
     let fleet = Fleet::start(Plan::default());
     let reply = block_on(send(fleet.routers[0].callers, &record("claim", 1), None));
     let reply = reply.expect("it is answered");
-    assert_eq!(reply.why, Some(Why::TicketNeeded));
+    assert_eq!(reply.why, Some(Reason::TicketNeeded));
     assert_eq!(reply.outcome, Outcome::NotRun);
     assert!(fleet.runs().is_empty());
 }
--- a/tests/proofs/stage/calls.rs
+++ b/tests/proofs/stage/calls.rs
@@ -14,8 +14,8 @@
     callers::{
         AddressList,
         Call,
+        Reason,
         Refused,
-        Why,
         DEADLINE_MS,
         OUTCOME,
         PROFILE,
@@ -53,7 +53,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Reply {
     pub(crate) outcome: Outcome,
-    pub(crate) why: Option<Why>,
+    pub(crate) why: Option<Reason>,
     /// When to come back, in milliseconds.
     pub(crate) retry: Option<u64>,
     pub(crate) body: Vec<u8>,
@@ -175,7 +175,7 @@
     let outcome = head.or(refused.as_ref().map(|r| r.outcome));
     Ok(Reply {
         outcome: outcome.unwrap_or(Outcome::Answered),
-        why: refused.as_ref().map(|r| r.why),
+        why: refused.as_ref().map(|r| r.reason),
         retry: refused.and_then(|r| r.retry_ms),
         body,
     })
@@ -218,7 +218,7 @@
 pub(crate) fn ask_again(router: SocketAddr, work: &Work, ticket: &str) -> Reply {
     let (reply, _) = wait_for("the ticket's request has ended", || {
         let reply = task::block_on(send(router, work, Some(ticket))).ok()?;
-        (reply.why != Some(Why::TicketRunning)).then_some(reply)
+        (reply.why != Some(Reason::TicketRunning)).then_some(reply)
     });
     reply
 }
