--- a/crates/callers/examples/measure.rs
+++ b/crates/callers/examples/measure.rs
@@ -57,7 +57,7 @@
 
 async fn ours() -> SocketAddr {
     let server = Server::new(Limits::default(), |_: IncomingRequest| async {
-        Response::whole(200, Outcome::Answered, BODY.to_vec())
+        Response::complete(200, Outcome::Answered, BODY.to_vec())
     });
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/callers/src/connection.rs
+++ b/crates/callers/src/connection.rs
@@ -270,7 +270,7 @@
         keep: bool,
     ) -> Result<bool, Stop> {
         let keep = keep && !self.stop.is_closed();
-        let whole = matches!(response.body, Body::Whole(_));
+        let whole = matches!(response.body, Body::Complete(_));
         let mut http = response.into_http(id.as_ref());
         if !keep {
             http.insert_header("connection", "close");
--- a/crates/callers/src/response.rs
+++ b/crates/callers/src/response.rs
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub enum Body {
     /// The whole body.
-    Whole(Vec<u8>),
+    Complete(Vec<u8>),
     /// The body as it comes. Give the channel a small bound: it is all that is buffered.
     Stream(Receiver<Piece>),
 }
@@ -66,13 +66,13 @@
 
 impl Response {
     /// Makes an answer with a whole body.
-    pub fn whole(status: u16, outcome: Outcome, body: Vec<u8>) -> Response {
+    pub fn complete(status: u16, outcome: Outcome, body: Vec<u8>) -> Response {
         Response {
             status,
             outcome: Some(outcome),
             retry: None,
             headers: Vec::new(),
-            body: Body::Whole(body),
+            body: Body::Complete(body),
         }
     }
 
@@ -101,7 +101,7 @@
             outcome: None,
             retry: None,
             headers: vec![("content-type".to_owned(), "application/json".to_owned())],
-            body: Body::Whole(body),
+            body: Body::Complete(body),
         }
     }
 
@@ -113,7 +113,7 @@
             .iter()
             .any(|(n, v)| n == "content-type" && v.starts_with("text/event-stream"));
         http.set_body(match self.body {
-            Body::Whole(bytes) => http_types::Body::from_bytes(bytes),
+            Body::Complete(bytes) => http_types::Body::from_bytes(bytes),
             Body::Stream(pieces) => StreamBody::new(pieces, events).into_http(),
         });
         let streamed = http.len().is_none();
--- a/crates/callers/tests/bad_input.rs
+++ b/crates/callers/tests/bad_input.rs
@@ -349,7 +349,7 @@
     // An endpoint answers with a status that the HTTP library does not know.
     task::block_on(async {
         let (_server, address) = start(limits(), |_| async {
-            Response::whole(499, Outcome::Failed, Vec::new())
+            Response::complete(499, Outcome::Failed, Vec::new())
         })
         .await;
         let text = tell(address, format!("{HEAD}connection: close\r\n\r\n")).await;
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -163,7 +163,7 @@
 }
 
 fn answered(_: &callers::Request) -> Response {
-    Response::whole(200, Outcome::Answered, b"done".to_vec())
+    Response::complete(200, Outcome::Answered, b"done".to_vec())
 }
 
 fn leaving(_: &callers::Request) -> Response {
--- a/crates/callers/tests/common/mod.rs
+++ b/crates/callers/tests/common/mod.rs
@@ -52,14 +52,14 @@
 pub async fn echo(ask: IncomingRequest) -> Response {
     match ask {
         IncomingRequest::Request { request, .. } => {
-            Response::whole(200, Outcome::Answered, request.body.clone())
+            Response::complete(200, Outcome::Answered, request.body.clone())
                 .header("x-service", request.service.to_string())
                 .header("x-target", request.target.clone())
                 .header("x-ticket", request.ticket.clone().unwrap_or_default())
                 .header("x-deadline", format!("{}", request.deadline.is_some()))
         }
         IncomingRequest::Addresses { query, .. } => {
-            Response::whole(200, Outcome::Answered, Vec::new())
+            Response::complete(200, Outcome::Answered, Vec::new())
                 .header("x-service", query.service.to_string())
                 .header("x-tickets", query.tickets.to_string())
         }
--- a/crates/callers/tests/hang_up.rs
+++ b/crates/callers/tests/hang_up.rs
@@ -51,7 +51,7 @@
             say.send("began").await.unwrap();
             gone.wait().await;
             say.send("gone").await.unwrap();
-            Response::whole(200, Outcome::Answered, Vec::new())
+            Response::complete(200, Outcome::Answered, Vec::new())
         }
     })
     .await;
--- a/crates/callers/tests/server.rs
+++ b/crates/callers/tests/server.rs
@@ -240,7 +240,7 @@
     // two and the caller would read another's. It is left out.
     task::block_on(async {
         let (_server, address) = start(Limits::default(), |_| async {
-            Response::whole(200, Outcome::Answered, Vec::new())
+            Response::complete(200, Outcome::Answered, Vec::new())
                 .header("x-a", "1\r\nx-evil: 2")
                 .header("x-b", "caf\u{e9}")
                 .header("x-c", "3")
--- a/src/router/claims.rs
+++ b/src/router/claims.rs
@@ -221,7 +221,7 @@
     }
     match recorded.and_then(|r| r.answer) {
         Some(whole) => {
-            let mut response = Response::whole(whole.status, record.outcome, whole.body);
+            let mut response = Response::complete(whole.status, record.outcome, whole.body);
             response.headers = whole.headers;
             response
         }
--- a/src/router/running.rs
+++ b/src/router/running.rs
@@ -281,7 +281,7 @@
         let whole = matches!(end.outcome, Outcome::Answered | Outcome::Failed);
         if whole && held.status != 0 {
             self.record(end.outcome, &held);
-            let mut response = Response::whole(held.status, end.outcome, held.body);
+            let mut response = Response::complete(held.status, end.outcome, held.body);
             response.headers = headers;
             return response;
         }
--- a/src/router/tests/stage.rs
+++ b/src/router/tests/stage.rs
@@ -154,7 +154,7 @@
         whole: false,
     };
     match response.body {
-        Body::Whole(bytes) => (got.body, got.whole) = (bytes, true),
+        Body::Complete(bytes) => (got.body, got.whole) = (bytes, true),
         Body::Stream(pieces) => {
             while let Ok(piece) = pieces.recv().await {
                 match piece {
--- a/tests/call.rs
+++ b/tests/call.rs
@@ -68,12 +68,12 @@
     match request.target.as_str() {
         "/late" => Refused::new(Reason::Late, "allow more time").into(),
         "/lost" => Refused::new(Reason::AnswerLost, "look whether it ran").into(),
-        "/failed" => Response::whole(500, Outcome::Failed, b"no ink".to_vec()),
+        "/failed" => Response::complete(500, Outcome::Failed, b"no ink".to_vec()),
         "/v1/chat/completions" => stream(),
         target => {
             let ticket = request.ticket.as_deref().unwrap_or("none");
             let body = format!("{} {target} ticket {ticket}", request.method);
-            Response::whole(200, Outcome::Answered, body.into_bytes())
+            Response::complete(200, Outcome::Answered, body.into_bytes())
         }
     }
 }
