--- a/crates/callers/src/connection.rs
+++ b/crates/callers/src/connection.rs
@@ -120,7 +120,7 @@
                 _ => Ok(0),
             }
         };
-        let idle = self.shared.limits.idle;
+        let idle = self.shared.limits.idle_timeout;
         match timeout(idle, or(self.wire.fill(), stopped)).await {
             Ok(Ok(n)) if n > 0 => Ok(()),
             _ => Err(Stop::Closed),
@@ -143,13 +143,15 @@
                 }
             }
         };
-        timeout(limits.head_time, read).await.unwrap_or_else(|_| {
-            Err(Refused::new(
-                Reason::HeadTimeout,
-                "the head did not come in time; send it in one go",
-            )
-            .into())
-        })
+        timeout(limits.head_timeout, read)
+            .await
+            .unwrap_or_else(|_| {
+                Err(Refused::new(
+                    Reason::HeadTimeout,
+                    "the head did not come in time; send it in one go",
+                )
+                .into())
+            })
     }
 
     /// Has the HTTP library read the head.
@@ -207,7 +209,7 @@
 
     async fn body(&self, head: &mut Head, deadline: Option<Duration>) -> Result<Vec<u8>, Stop> {
         let limits = &self.shared.limits;
-        let time = limits.body_time.min(deadline.unwrap_or(Duration::MAX));
+        let time = limits.body_timeout.min(deadline.unwrap_or(Duration::MAX));
         let most = limits.body_bytes as u64;
         let mut body = Vec::new();
         let mut reader = head.http.take_body().into_reader().take(most + 1);
@@ -220,7 +222,7 @@
         };
         let read = timeout(time, whole).await;
         match (read, head.framing) {
-            (Err(_), _) if time < limits.body_time => Err(parse::expired().into()),
+            (Err(_), _) if time < limits.body_timeout => Err(parse::expired().into()),
             (Err(_), _) => Err(Refused::new(
                 Reason::BodyTimeout,
                 "the body did not come in time; send it in one go",
@@ -299,7 +301,7 @@
             // A streamed chunk goes out at once, a whole answer in as few writes as it takes.
             if n == 0 || !whole || len == buf.len() {
                 self.wire
-                    .write(&buf[..len], self.shared.limits.stall)
+                    .write(&buf[..len], self.shared.limits.stall_timeout)
                     .await?;
                 len = 0;
             }
--- a/crates/callers/src/limits.rs
+++ b/crates/callers/src/limits.rs
@@ -12,17 +12,17 @@
     /// Longest body, in bytes.
     pub body_bytes: usize,
     /// Time from the first byte of a head to its last.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time from the end of the head to the end of the body.
-    pub body_time: Duration,
+    pub body_timeout: Duration,
     /// How long a kept connection may stay idle.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// How long a caller may take to read the next few kilobytes of its answer.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// Most connections at once.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Most connections at once from one IP address.
-    pub per_peer: usize,
+    pub max_connections_per_ip: usize,
 }
 
 /// Longest head, and most headers, that the HTTP library reads.
@@ -44,12 +44,12 @@
             head_bytes: HEAD_BYTES,
             head_count: 100,
             body_bytes: 4 * 1024 * 1024,
-            head_time: Duration::from_secs(5),
-            body_time: Duration::from_secs(30),
-            idle: Duration::from_secs(75),
-            stall: Duration::from_secs(15),
-            connections: 10_000,
-            per_peer: 2_000,
+            head_timeout: Duration::from_secs(5),
+            body_timeout: Duration::from_secs(30),
+            idle_timeout: Duration::from_secs(75),
+            stall_timeout: Duration::from_secs(15),
+            max_connections: 10_000,
+            max_connections_per_ip: 2_000,
         }
     }
 }
--- a/crates/callers/src/server.rs
+++ b/crates/callers/src/server.rs
@@ -211,7 +211,7 @@
         let limits = &self.shared.limits;
         let mut open = lock(&self.shared.open);
         let peer = open.peers.get(&ip).copied().unwrap_or(0);
-        if open.all >= limits.connections || peer >= limits.per_peer {
+        if open.all >= limits.max_connections || peer >= limits.max_connections_per_ip {
             return None;
         }
         open.all += 1;
--- a/crates/callers/tests/bad_input.rs
+++ b/crates/callers/tests/bad_input.rs
@@ -39,9 +39,9 @@
         head_bytes: 2048,
         head_count: 10,
         body_bytes: 1024,
-        head_time: LONG,
-        body_time: LONG,
-        idle: LONG,
+        head_timeout: LONG,
+        body_timeout: LONG,
+        idle_timeout: LONG,
         ..Limits::default()
     }
 }
@@ -256,7 +256,7 @@
     // A caller sends a byte now and then, so that the connection is never idle.
     task::block_on(async {
         let slow = Limits {
-            head_time: Duration::from_millis(100),
+            head_timeout: Duration::from_millis(100),
             ..limits()
         };
         expect(&refused(slow, "GET").await, 408, "head-timeout");
@@ -267,7 +267,7 @@
 fn body_slow() {
     task::block_on(async {
         let slow = Limits {
-            body_time: Duration::from_millis(100),
+            body_timeout: Duration::from_millis(100),
             ..limits()
         };
         let fixed = format!("{HEAD}content-length: 9\r\n\r\nabc");
@@ -281,7 +281,7 @@
 fn connection_idle() {
     task::block_on(async {
         let idle = Limits {
-            idle: Duration::from_millis(100),
+            idle_timeout: Duration::from_millis(100),
             ..limits()
         };
         let (_server, address) = start(idle, echo).await;
@@ -294,11 +294,11 @@
     task::block_on(async {
         for few in [
             Limits {
-                connections: 2,
+                max_connections: 2,
                 ..limits()
             },
             Limits {
-                per_peer: 2,
+                max_connections_per_ip: 2,
                 ..limits()
             },
         ] {
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -406,7 +406,7 @@
     task::block_on(async {
         let log = Log::default();
         let idle = Limits {
-            idle: Duration::from_millis(50),
+            idle_timeout: Duration::from_millis(50),
             ..Limits::default()
         };
         let (server, a) = start(idle, common::echo).await;
--- a/crates/callers/tests/hang_up.rs
+++ b/crates/callers/tests/hang_up.rs
@@ -198,7 +198,7 @@
     // served meanwhile.
     task::block_on(async {
         let limits = Limits {
-            stall: Duration::from_millis(300),
+            stall_timeout: Duration::from_millis(300),
             ..Limits::default()
         };
         let (server, address, heard) = streaming(limits).await;
--- a/crates/callers/tests/server.rs
+++ b/crates/callers/tests/server.rs
@@ -81,7 +81,7 @@
     // time was up although it was all there.
     task::block_on(async {
         let long = Limits {
-            body_time: Duration::from_secs(600),
+            body_timeout: Duration::from_secs(600),
             ..Limits::default()
         };
         let (_server, address) = start(long, echo).await;
--- a/src/conf/limits.rs
+++ b/src/conf/limits.rs
@@ -35,12 +35,12 @@
     let limits = Limits {
         head_bytes: size(&mut s, "head", d.head_bytes, HEAD_MAX),
         body_bytes: size(&mut s, "body", d.body_bytes, BODY_MAX),
-        head_time: time(&mut s, "head-time", d.head_time),
-        body_time: time(&mut s, "body-time", d.body_time),
-        idle: time(&mut s, "idle", d.idle),
-        stall: time(&mut s, "stall", d.stall),
-        connections: count(&mut s, "connections", d.connections),
-        per_peer: count(&mut s, "per-address", d.per_peer),
+        head_timeout: time(&mut s, "head-time", d.head_timeout),
+        body_timeout: time(&mut s, "body-time", d.body_timeout),
+        idle_timeout: time(&mut s, "idle", d.idle_timeout),
+        stall_timeout: time(&mut s, "stall", d.stall_timeout),
+        max_connections: count(&mut s, "connections", d.max_connections),
+        max_connections_per_ip: count(&mut s, "per-address", d.max_connections_per_ip),
         ..d
     };
     s.finish();
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -58,7 +58,7 @@
     assert_eq!(shipped.log, least.log);
     assert_eq!(shipped.platform, least.platform);
     assert_eq!(shipped.limits.head_bytes, 7 * 1024);
-    assert_eq!(shipped.limits.idle, Duration::from_secs(75));
+    assert_eq!(shipped.limits.idle_timeout, Duration::from_secs(75));
 }
 
 #[test]
