--- a/crates/callers/src/client/exchange.rs
+++ b/crates/callers/src/client/exchange.rs
@@ -65,7 +65,7 @@
     pub(crate) pool: &'a Pool,
     pub(crate) router: SocketAddr,
     /// Longest time without a byte.
-    pub(crate) silence: std::time::Duration,
+    pub(crate) idle_timeout: std::time::Duration,
     pub(crate) until: Instant,
 }
 
@@ -140,7 +140,7 @@
         work: impl std::future::Future<Output = io::Result<T>>,
     ) -> io::Result<T> {
         let left = self.until.saturating_duration_since(Instant::now());
-        async_std::io::timeout(left.min(self.silence), work).await
+        async_std::io::timeout(left.min(self.idle_timeout), work).await
     }
 }
 
--- a/crates/callers/src/client/settings.rs
+++ b/crates/callers/src/client/settings.rs
@@ -25,12 +25,12 @@
     /// How many tickets are asked for at a time.
     pub tickets: u32,
     /// Most tries of one call, the first included.
-    pub tries: usize,
+    pub max_attempts: usize,
     /// Time for a call without a deadline.
     pub timeout: Duration,
     /// Longest time without a byte before an answer counts as lost. It must be above the
     /// time that a request may be queued: what is asked again loses its place.
-    pub silence: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl ClientSettings {
@@ -42,9 +42,9 @@
             zone: None,
             workspace: None,
             tickets: 8,
-            tries: 3,
+            max_attempts: 3,
             timeout: Duration::from_secs(60),
-            silence: Duration::from_secs(30),
+            idle_timeout: Duration::from_secs(30),
         }
     }
 }
--- a/crates/callers/src/client/steps.rs
+++ b/crates/callers/src/client/steps.rs
@@ -128,8 +128,8 @@
             lost: false,
             last: Answer::lost(),
         };
-        let tries = self.0.settings.tries;
-        for (n, router) in route.iter().cycle().take(tries).enumerate() {
+        let max_attempts = self.0.settings.max_attempts;
+        for (n, router) in route.iter().cycle().take(max_attempts).enumerate() {
             if n > 0 && Instant::now() >= progress.until {
                 break;
             }
@@ -196,7 +196,7 @@
         let exchange = Exchange {
             pool: &self.0.pool,
             router,
-            silence: self.0.settings.silence,
+            idle_timeout: self.0.settings.idle_timeout,
             until: progress.until,
         };
         exchange.run(http, on_chunk).await
@@ -256,7 +256,7 @@
         let exchange = Exchange {
             pool: &self.0.pool,
             router,
-            silence: ASK_TIME,
+            idle_timeout: ASK_TIME,
             until: Instant::now() + ASK_TIME,
         };
         let answer = match exchange.run(http, &mut None).await {
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -350,7 +350,7 @@
         let a = breaking(&log, "a", "").await;
         let b = router("b", &log, leaving).await;
         let client = Client::new(ClientSettings {
-            tries: 2,
+            max_attempts: 2,
             ..ClientSettings::new(vec![guide(&log, &[a, b], 0).await])
         });
         let answer = soon(client.call(&once())).await;
@@ -434,7 +434,7 @@
         let a = silent.local_addr().unwrap();
         let b = router("b", &log, answered).await;
         let client = Client::new(ClientSettings {
-            silence: Duration::from_millis(300),
+            idle_timeout: Duration::from_millis(300),
             ..ClientSettings::new(vec![guide(&log, &[a, b], 0).await])
         });
         let answer = soon(client.call(&call())).await;
@@ -498,7 +498,7 @@
             let _ = socket.read(&mut [0; 1]).await;
         });
         let client = Client::new(ClientSettings {
-            silence: Duration::from_secs(600),
+            idle_timeout: Duration::from_secs(600),
             timeout: Duration::from_secs(600),
             ..ClientSettings::new(vec![guide(&Log::default(), &[a], 0).await])
         });
--- a/src/measure/load.rs
+++ b/src/measure/load.rs
@@ -216,7 +216,7 @@
 pub(crate) fn pinned(router: SocketAddr) -> Client {
     let mut settings = ClientSettings::new(vec![router]);
     settings.pinned = true;
-    settings.tries = 1;
+    settings.max_attempts = 1;
     Client::new(settings)
 }
 
--- a/tests/proofs/answers.rs
+++ b/tests/proofs/answers.rs
@@ -201,7 +201,7 @@
     let fleet = Fleet::start(Plan::default());
     let ways: Vec<Relay> = fleet.callers().into_iter().map(way).collect();
     let mut settings = ClientSettings::new(vec![ways[0].addr]);
-    settings.silence = Duration::from_secs(2);
+    settings.idle_timeout = Duration::from_secs(2);
     let client = Client::new(settings);
     let work = record("claim", 1);
     // The way to router 1 swallows the answer of a renewal, which the client asks for again.
