--- a/crates/callers/src/client/call.rs
+++ b/crates/callers/src/client/call.rs
@@ -60,7 +60,7 @@
     /// The ticket it went under last.
     pub ticket: Option<String>,
     /// How many times it was sent or a connection for it was tried.
-    pub tries: usize,
+    pub attempts: usize,
 }
 
 impl Call {
@@ -97,7 +97,7 @@
             refused: Some(refused),
             router: None,
             ticket: None,
-            tries: 0,
+            attempts: 0,
         }
     }
 
--- a/crates/callers/src/client/exchange.rs
+++ b/crates/callers/src/client/exchange.rs
@@ -209,7 +209,7 @@
         refused: None,
         router: Some(router),
         ticket: None,
-        tries: 0,
+        attempts: 0,
     }
 }
 
--- a/crates/callers/src/client/steps.rs
+++ b/crates/callers/src/client/steps.rs
@@ -138,7 +138,7 @@
                 task::sleep(pause).await;
                 done = self.step(call, *router, &mut progress, on_chunk).await;
             }
-            progress.last.tries = n + 1;
+            progress.last.attempts = n + 1;
             if done {
                 break;
             }
@@ -360,7 +360,7 @@
         Answer {
             router: self.last.router,
             ticket: self.ticket,
-            tries: self.last.tries,
+            attempts: self.last.attempts,
             ..Answer::lost()
         }
     }
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -187,7 +187,7 @@
         for _ in 0..3 {
             let answer = soon(kept.call(&call())).await;
             assert_eq!(answer.outcome, Outcome::Answered);
-            assert_eq!((answer.status, answer.tries), (Some(200), 1));
+            assert_eq!((answer.status, answer.attempts), (Some(200), 1));
             assert_eq!(answer.body, b"done");
         }
         assert_eq!(logged(&log), ["guide", "a -", "a -", "a -"]);
@@ -207,7 +207,7 @@
         let a = router("a", &log, leaving).await;
         let b = router("b", &log, answered).await;
         let answer = soon(client(guide(&log, &[a, b], 0).await).call(&call())).await;
-        assert_eq!((answer.outcome, answer.tries), (Outcome::Answered, 2));
+        assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 2));
         assert_eq!(logged(&log), ["guide", "a -", "b -"]);
     });
 }
@@ -333,7 +333,7 @@
             let a = breaking(&log, "a", bytes).await;
             let b = router("b", &log, answered).await;
             let answer = soon(client(guide(&log, &[a, b], 0).await).call(&once())).await;
-            assert_eq!((answer.outcome, answer.tries), (Outcome::Answered, 2));
+            assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 2));
             assert_eq!(answer.body, b"done");
             assert_eq!(logged(&log), ["guide", "a a.t", "b a.t"]);
         }
@@ -394,7 +394,7 @@
         })
         .await;
         let answer = soon(client(guide(&log, &[a, b], 0).await).call(&once())).await;
-        assert_eq!((answer.outcome, answer.tries), (Outcome::Answered, 2));
+        assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 2));
         assert_eq!(logged(&log), ["guide", "a a.t", "b a.t", "b a.t", "b a.t"]);
     });
 }
@@ -419,7 +419,7 @@
         })
         .await;
         let answer = soon(client.call(&call())).await;
-        assert_eq!((answer.outcome, answer.tries), (Outcome::Answered, 1));
+        assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 1));
         assert_eq!(answer.body, b"hello");
     });
 }
@@ -438,7 +438,7 @@
             ..ClientSettings::new(vec![guide(&log, &[a, b], 0).await])
         });
         let answer = soon(client.call(&call())).await;
-        assert_eq!((answer.outcome, answer.tries), (Outcome::Answered, 2));
+        assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 2));
     });
 }
 
--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -146,7 +146,7 @@
         "refused": answer.refused,
         "router": answer.router,
         "ticket": answer.ticket,
-        "tries": answer.tries,
+        "tries": answer.attempts,
         "body": String::from_utf8_lossy(&answer.body),
     })
 }
