--- a/crates/callers/src/client/call.rs
+++ b/crates/callers/src/client/call.rs
@@ -29,7 +29,7 @@
     /// Time until the answer is of no use.
     pub deadline: Option<Duration>,
     /// It may not be repeated, so it needs a ticket.
-    pub once: bool,
+    pub at_most_once: bool,
     /// The name in logs.
     pub id: Option<String>,
     /// The HTTP method.
@@ -77,7 +77,7 @@
             workspace,
             profile,
             deadline: None,
-            once: false,
+            at_most_once: false,
             id: None,
             method: "POST".to_owned(),
             target: target.to_owned(),
--- a/crates/callers/src/client/steps.rs
+++ b/crates/callers/src/client/steps.rs
@@ -155,7 +155,7 @@
         progress: &mut Progress,
         on_chunk: &mut OnChunk<'_>,
     ) -> bool {
-        if call.once && progress.ticket.is_none() {
+        if call.at_most_once && progress.ticket.is_none() {
             match self.ticket(&call.service, router).await {
                 Ok(ticket) => progress.ticket = Some(ticket),
                 Err(refused) => {
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -157,7 +157,7 @@
 
 fn once() -> Call {
     Call {
-        once: true,
+        at_most_once: true,
         ..call()
     }
 }
--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -123,7 +123,7 @@
     );
     call.method = method.to_owned();
     call.deadline = flags.deadline.map(Into::into);
-    call.once = flags.once;
+    call.at_most_once = flags.once;
     if flags.prompt.is_some() {
         let json = ("content-type".to_owned(), "application/json".to_owned());
         call.headers.push(json);
--- a/src/demo/load.rs
+++ b/src/demo/load.rs
@@ -170,7 +170,7 @@
     let once = n % RENEWAL == 0;
     let profile = if once { "renewal" } else { "standard" };
     let mut call = call("drafting-llm", id, profile, "/v1/chat/completions", body);
-    call.once = once;
+    call.at_most_once = once;
     (call, expected)
 }
 
--- a/tests/proofs/stage/calls.rs
+++ b/tests/proofs/stage/calls.rs
@@ -100,7 +100,7 @@
         target,
         body,
     );
-    call.once = matches!(profile, "renewal" | "claim");
+    call.at_most_once = matches!(profile, "renewal" | "claim");
     call.deadline = Some(Duration::from_secs(20));
     call
 }
--- a/tests/proofs/stage/load.rs
+++ b/tests/proofs/stage/load.rs
@@ -154,7 +154,7 @@
 /// Tries one address; returns whether the request is over.
 async fn try_at(router: SocketAddr, work: &Work, seen: &mut Seen) -> bool {
     let mut ticket = None;
-    if work.call.once {
+    if work.call.at_most_once {
         let some = tickets(router, work.call.service.as_str(), 1).await;
         ticket = some.unwrap_or_default().pop();
         if ticket.is_none() {
