--- a/crates/callers/src/client/steps.rs
+++ b/crates/callers/src/client/steps.rs
@@ -88,7 +88,7 @@
         let mut asked = known.stale(service);
         asked.extend(&self.0.settings.routers);
         for router in asked {
-            match self.ask(service, router, 0).await {
+            match self.fetch_addresses(service, router, 0).await {
                 Ok(answer) if !answer.addresses.is_empty() => {
                     known.keep(service, &answer);
                     return Ok(answer);
@@ -224,7 +224,9 @@
         if let Some(ticket) = known.ticket(service, router) {
             return Ok(ticket);
         }
-        let answer = self.ask(service, router, self.0.settings.tickets).await?;
+        let answer = self
+            .fetch_addresses(service, router, self.0.settings.tickets)
+            .await?;
         known.keep_tickets(service, router, &answer);
         known.ticket(service, router).ok_or_else(|| {
             Refused::new(
@@ -239,7 +241,7 @@
     /// # Errors
     ///
     /// The router's refusal, or that it could not be reached.
-    pub async fn ask(
+    pub async fn fetch_addresses(
         &self,
         service: &ServiceId,
         router: SocketAddr,
--- a/src/cli/locate.rs
+++ b/src/cli/locate.rs
@@ -21,7 +21,9 @@
 pub(crate) async fn locate(flags: &Where) -> Result<(), Error> {
     let client = Client::new(ClientSettings::new(vec![flags.router]));
     let tickets = flags.tickets.unwrap_or(0);
-    let answer = client.ask(&flags.service, flags.router, tickets).await;
+    let answer = client
+        .fetch_addresses(&flags.service, flags.router, tickets)
+        .await;
     let answer = answer.map_err(|r| Error::from_refused(&r))?;
     if flags.json {
         let json = serde_json::to_string(&answer);
