--- a/crates/callers/src/connection.rs
+++ b/crates/callers/src/connection.rs
@@ -98,11 +98,11 @@
         let keep = keeps(&head);
         let method = head.http.method();
         let (ask, id) = self.ask(head).await?;
-        let gone = disconnect_signal_of(&ask);
-        let response = self.handle(ask, &gone, id.as_ref()).await?;
-        let sent = self.send(response, &gone, method, id, keep).await;
+        let disconnect = disconnect_signal_of(&ask);
+        let response = self.handle(ask, &disconnect, id.as_ref()).await?;
+        let sent = self.send(response, &disconnect, method, id, keep).await;
         if sent.is_err() {
-            gone.fire();
+            disconnect.fire();
         }
         sent
     }
@@ -201,8 +201,14 @@
                 request.body = body;
                 shorten(&mut request, head.since)?;
                 let id = request.id.clone();
-                let gone = DisconnectSignal::new();
-                Ok((IncomingRequest::Request { request, gone }, Some(id)))
+                let disconnect = DisconnectSignal::new();
+                Ok((
+                    IncomingRequest::Request {
+                        request,
+                        disconnect,
+                    },
+                    Some(id),
+                ))
             }
         }
     }
@@ -245,18 +251,18 @@
     async fn handle(
         &self,
         ask: IncomingRequest,
-        gone: &DisconnectSignal,
+        disconnect: &DisconnectSignal,
         id: Option<&RequestId>,
     ) -> Result<Response, Stop> {
         let answer = AssertUnwindSafe((self.shared.handler)(ask)).catch_unwind();
-        let watch = async { match self.wire.watch(gone).await {} };
+        let watch = async { match self.wire.watch(disconnect).await {} };
         let response = or(answer, watch).await.unwrap_or_else(|_| {
             // One request's fault must not end the connection without an answer.
             log::error!("callers: the handler of request {id:?} panicked");
             let fault = "a fault in the router; its log names this request";
             Refused::new(Reason::Internal, fault).into()
         });
-        if gone.has_fired() {
+        if disconnect.has_fired() {
             return Err(Stop::Closed);
         }
         Ok(response)
@@ -266,7 +272,7 @@
     async fn send(
         &self,
         response: Response,
-        gone: &DisconnectSignal,
+        disconnect: &DisconnectSignal,
         method: Method,
         id: Option<RequestId>,
         keep: bool,
@@ -278,8 +284,8 @@
             http.insert_header("connection", "close");
         }
         let hung_up = async {
-            let watch = async { match self.wire.watch(gone).await {} };
-            or(gone.wait(), watch).await;
+            let watch = async { match self.wire.watch(disconnect).await {} };
+            or(disconnect.wait(), watch).await;
             Err(io::ErrorKind::ConnectionAborted.into())
         };
         let copy = self.copy(Encoder::new(http, method), whole);
@@ -314,8 +320,8 @@
     /// Tells the caller why, and closes.
     async fn refuse(&self, refused: Refused) {
         log::debug!("callers: refused {}: {refused}", self.peer);
-        let gone = DisconnectSignal::new();
-        let sent = self.send(refused.into(), &gone, Method::Get, None, false);
+        let disconnect = DisconnectSignal::new();
+        let sent = self.send(refused.into(), &disconnect, Method::Get, None, false);
         if sent.await.is_ok() {
             self.wire.linger().await;
         }
@@ -331,7 +337,7 @@
 
 fn disconnect_signal_of(ask: &IncomingRequest) -> DisconnectSignal {
     match ask {
-        IncomingRequest::Request { gone, .. } => gone.clone(),
+        IncomingRequest::Request { disconnect, .. } => disconnect.clone(),
         IncomingRequest::Addresses { .. } => DisconnectSignal::new(),
     }
 }
--- a/crates/callers/src/request.rs
+++ b/crates/callers/src/request.rs
@@ -35,7 +35,7 @@
         /// The request.
         request: Box<Request>,
         /// Fires when the caller hangs up.
-        gone: DisconnectSignal,
+        disconnect: DisconnectSignal,
     },
 }
 
--- a/crates/callers/src/wire.rs
+++ b/crates/callers/src/wire.rs
@@ -112,14 +112,14 @@
     }
 
     /// Fires the signal when the caller hangs up. Never ends.
-    pub(crate) async fn watch(&self, gone: &DisconnectSignal) -> Infallible {
+    pub(crate) async fn watch(&self, disconnect: &DisconnectSignal) -> Infallible {
         // Writing alone finds a hang-up only at the first answer bytes, which may be minutes
         // later. So the socket is read meanwhile; a caller may send its next request early,
         // and that is kept, up to a bound beyond which nothing is read or noticed.
         while self.held() < AHEAD_BYTES {
             match self.fill().await {
                 Ok(0) | Err(_) => {
-                    gone.fire();
+                    disconnect.fire();
                     break;
                 }
                 Ok(_) => {}
--- a/crates/callers/tests/hang_up.rs
+++ b/crates/callers/tests/hang_up.rs
@@ -42,14 +42,22 @@
     let (server, address) = start(Limits::default(), move |ask| {
         let say = say.clone();
         async move {
-            let IncomingRequest::Request { request, gone } = ask else {
+            let IncomingRequest::Request {
+                request,
+                disconnect,
+            } = ask
+            else {
                 panic!("no address was asked for");
             };
             if request.body == b"quick" {
-                return echo(IncomingRequest::Request { request, gone }).await;
+                return echo(IncomingRequest::Request {
+                    request,
+                    disconnect,
+                })
+                .await;
             }
             say.send("began").await.unwrap();
-            gone.wait().await;
+            disconnect.wait().await;
             say.send("gone").await.unwrap();
             Response::complete(200, Outcome::Answered, Vec::new())
         }
@@ -158,14 +166,22 @@
     let (server, address) = start(limits, move |ask| {
         let say = say.clone();
         async move {
-            let IncomingRequest::Request { gone, request } = ask else {
+            let IncomingRequest::Request {
+                disconnect,
+                request,
+            } = ask
+            else {
                 panic!("no address was asked for");
             };
             if request.target != "/v1/x?a=1" {
-                return echo(IncomingRequest::Request { gone, request }).await;
+                return echo(IncomingRequest::Request {
+                    disconnect,
+                    request,
+                })
+                .await;
             }
             let (send, pieces) = bounded(1);
-            say.send((send, gone)).await.unwrap();
+            say.send((send, disconnect)).await.unwrap();
             Response::stream(200, pieces)
         }
     })
@@ -181,11 +197,11 @@
         let (server, address, heard) = streaming(Limits::default()).await;
         let mut raw = Raw::connect(address).await;
         raw.send(format!("{HEAD}\r\n")).await;
-        let (send, gone) = soon(heard.recv()).await.unwrap();
+        let (send, disconnect) = soon(heard.recv()).await.unwrap();
         send.send(Piece::Data(b"one".to_vec())).await.unwrap();
         raw.until("one\r\n").await;
         drop(raw);
-        soon(gone.wait()).await;
+        soon(disconnect.wait()).await;
         soon(async { while send.send(Piece::Data(b"two".to_vec())).await.is_ok() {} }).await;
         ended(&server).await;
     });
@@ -204,7 +220,7 @@
         let (server, address, heard) = streaming(limits).await;
         let mut raw = Raw::connect(address).await;
         raw.send(format!("{HEAD}\r\n")).await;
-        let (send, gone) = soon(heard.recv()).await.unwrap();
+        let (send, disconnect) = soon(heard.recv()).await.unwrap();
         let piece = 64 * 1024;
         let mut sent = 0;
         soon(async {
@@ -214,7 +230,7 @@
         })
         .await;
         assert!(sent < 64 * 1024 * 1024, "buffered without bound: {sent}");
-        soon(gone.wait()).await;
+        soon(disconnect.wait()).await;
         ended(&server).await;
         drop(raw);
     });
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -45,7 +45,10 @@
 pub(crate) async fn handle(router: Arc<Router>, ask: IncomingRequest) -> Response {
     match ask {
         IncomingRequest::Addresses { query, .. } => router.where_to(&query),
-        IncomingRequest::Request { request, gone } => {
+        IncomingRequest::Request {
+            request,
+            disconnect: gone,
+        } => {
             let response = match admit(&router, *request) {
                 Ok(work) => serve(router, work, gone).await,
                 Err(refused) => refused.into(),
--- a/src/router/tests/stage.rs
+++ b/src/router/tests/stage.rs
@@ -133,7 +133,14 @@
     ) -> Got {
         let router = self.routers[router].router.clone();
         let request = Box::new(request);
-        let response = handle(router, IncomingRequest::Request { request, gone }).await;
+        let response = handle(
+            router,
+            IncomingRequest::Request {
+                request,
+                disconnect: gone,
+            },
+        )
+        .await;
         got(response).await
     }
 
