--- a/crates/callers/examples/measure.rs
+++ b/crates/callers/examples/measure.rs
@@ -1,7 +1,7 @@
-//! Measures the server towards callers, beside the HTTP library's own accept loop.
+//! Compares the server for callers with the HTTP library's accept loop.
 //!
-//! Server and callers share this machine and this process, so the figures compare the ways
-//! with each other. Run it with `cargo run --release -p chervilwind-callers --example measure`.
+//! Server and callers share one process, so only the comparison is meaningful. Run it with
+//! `cargo run --release -p chervilwind-callers --example measure`.
 
 use {
     async_std::{
@@ -32,30 +32,30 @@
     },
 };
 
-const CALLERS: usize = 64;
-const TIME: Duration = Duration::from_secs(3);
-const IDLE: usize = 1000;
+const CALLER_COUNT: usize = 64;
+const DURATION: Duration = Duration::from_secs(3);
+const IDLE_COUNT: usize = 1000;
 const HEAD: &str = "POST /v1/x HTTP/1.1\r\nhost: r\r\nchervilwind-service: desk\r\n\
     chervilwind-workspace: abbey\r\nchervilwind-profile: usual\r\n";
 const BODY: &[u8] = &[b'x'; 200];
 
 fn main() {
     task::block_on(async {
-        let ours = ours().await;
-        let library = library().await;
+        let server = start_server().await;
+        let library = start_library().await;
         let kept = format!("{HEAD}content-length: 5\r\n\r\nhello");
         let chunked = format!("{HEAD}transfer-encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n");
-        // First, while the allocator holds nothing back from the loads.
-        idle(ours, &kept).await;
+        // Runs first, before the load tests leave memory in the allocator.
+        measure_idle(server, &kept).await;
         for _ in 0..2 {
-            load("library's accept loop", library, &kept, true).await;
-            load("our server", ours, &kept, true).await;
-            load("our server, chunked", ours, &chunked, false).await;
+            measure_load("library's accept loop", library, &kept, true).await;
+            measure_load("our server", server, &kept, true).await;
+            measure_load("our server, chunked", server, &chunked, false).await;
         }
     });
 }
 
-async fn ours() -> SocketAddr {
+async fn start_server() -> SocketAddr {
     let server = Server::new(Limits::default(), |_: IncomingRequest| async {
         Response::complete(200, Outcome::Answered, BODY.to_vec())
     });
@@ -65,7 +65,7 @@
     address
 }
 
-async fn library() -> SocketAddr {
+async fn start_library() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     task::spawn(async move {
@@ -81,26 +81,26 @@
     address
 }
 
-async fn load(name: &str, address: SocketAddr, request: &str, keep: bool) {
-    let end = Instant::now() + TIME;
-    let callers: Vec<_> = (0..CALLERS)
+async fn measure_load(name: &str, address: SocketAddr, request: &str, keep: bool) {
+    let end = Instant::now() + DURATION;
+    let callers: Vec<_> = (0..CALLER_COUNT)
         .map(|_| task::spawn(caller(address, request.to_owned(), keep, end)))
         .collect();
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     for caller in callers {
-        took.extend(caller.await);
+        latencies.extend(caller.await);
     }
-    took.sort_unstable();
+    latencies.sort_unstable();
     println!(
         "{name}: {:.0} requests/s, p50 {:?}, p99 {:?}",
-        took.len() as f64 / TIME.as_secs_f64(),
-        took[took.len() / 2],
-        took[took.len() * 99 / 100],
+        latencies.len() as f64 / DURATION.as_secs_f64(),
+        latencies[latencies.len() / 2],
+        latencies[latencies.len() * 99 / 100],
     );
 }
 
 async fn caller(address: SocketAddr, request: String, keep: bool, end: Instant) -> Vec<Duration> {
-    let mut took = Vec::new();
+    let mut latencies = Vec::new();
     let mut socket = TcpStream::connect(address).await.unwrap();
     socket.set_nodelay(true).unwrap();
     while Instant::now() < end {
@@ -108,13 +108,13 @@
         if !keep {
             socket = TcpStream::connect(address).await.unwrap();
         }
-        ask(&mut socket, &request).await;
-        took.push(begin.elapsed());
+        send_request(&mut socket, &request).await;
+        latencies.push(begin.elapsed());
     }
-    took
+    latencies
 }
 
-async fn ask(socket: &mut TcpStream, request: &str) {
+async fn send_request(socket: &mut TcpStream, request: &str) {
     socket.write_all(request.as_bytes()).await.unwrap();
     let mut bytes = Vec::new();
     let mut buf = [0; 4096];
@@ -125,20 +125,20 @@
     }
 }
 
-async fn idle(address: SocketAddr, request: &str) {
-    let before = resident();
+async fn measure_idle(address: SocketAddr, request: &str) {
+    let before = resident_kib();
     let mut kept = Vec::new();
-    for _ in 0..IDLE {
+    for _ in 0..IDLE_COUNT {
         let mut socket = TcpStream::connect(address).await.unwrap();
-        ask(&mut socket, request).await;
+        send_request(&mut socket, request).await;
         kept.push(socket);
     }
-    let each = (resident() - before) / IDLE as f64;
+    let each = (resident_kib() - before) / IDLE_COUNT as f64;
     println!("idle connection, both ends: {each:.1} KiB");
 }
 
 /// Returns this process's resident memory in KiB.
-fn resident() -> f64 {
+fn resident_kib() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
--- a/crates/callers/src/addresses.rs
+++ b/crates/callers/src/addresses.rs
@@ -1,4 +1,4 @@
-//! The answer to the question which address to use.
+//! The address list of a service.
 
 use {
     crate::{
@@ -21,20 +21,20 @@
     },
 };
 
-/// Most tickets in one answer.
+/// Maximum number of tickets in one response.
 const TICKETS_MAX: u32 = 64;
 
-/// Addresses to use for a service, the best first.
+/// The addresses to use for a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AddressList {
-    /// The addresses, the best first. Never empty.
+    /// The addresses, best first. Never empty.
     pub addresses: Vec<Address>,
-    /// How long the answer may be kept, in milliseconds.
+    /// How long the list may be cached, in milliseconds.
     pub keep_ms: u64,
     /// Tickets for requests that may not be repeated.
     #[serde(default)]
     pub tickets: Vec<String>,
-    /// How long the tickets may be kept, in milliseconds.
+    /// How long the tickets may be cached, in milliseconds.
     #[serde(default)]
     pub ticket_ms: u64,
 }
@@ -44,50 +44,50 @@
 pub struct Address {
     /// The router.
     pub router: RouterId,
-    /// Where it takes requests.
+    /// The address at which it accepts requests.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// Its part of the requests, relative to the other addresses.
+    /// Its share of the requests, relative to the other addresses.
     pub weight: f64,
 }
 
-/// What was asked: `/chervilwind/where?service=S&tickets=N&zone=Z&workspace=W`.
+/// The query of an address request: `/chervilwind/where?service=S&tickets=N&zone=Z&workspace=W`.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AddressListQuery {
-    /// The service that will be asked for.
+    /// The service that will be called.
     pub service: ServiceId,
-    /// How many tickets are wanted, 0 to 64.
+    /// The number of tickets requested, 0 to 64.
     pub tickets: u32,
     /// The caller's availability zone.
     pub zone: Option<Zone>,
-    /// The workspace that will ask.
+    /// The workspace that will send requests.
     pub workspace: Option<WorkspaceId>,
 }
 
 impl AddressList {
-    /// Returns how long the answer may be kept.
+    /// Returns how long the list may be cached.
     pub fn keep(&self) -> Duration {
         Duration::from_millis(self.keep_ms)
     }
 }
 
 impl AddressListQuery {
-    /// Reads the query's pairs of name and value. Unknown names are passed over.
+    /// Parses the query's name-value pairs. Unknown names are ignored.
     ///
     /// # Errors
     ///
-    /// A refusal that names the part which is missing or malformed.
+    /// A rejection that names the missing or malformed parameter.
     pub fn from_pairs<'a>(
         pairs: impl Iterator<Item = (&'a str, &'a str)>,
     ) -> Result<AddressListQuery, Refused> {
         let (mut service, mut tickets, mut zone, mut workspace) = (None, 0, None, None);
         for (name, value) in pairs {
             match name {
-                "service" => service = Some(part(name, value)?),
-                "tickets" => tickets = part(name, value)?,
-                "zone" => zone = Some(part(name, value)?),
-                "workspace" => workspace = Some(part(name, value)?),
+                "service" => service = Some(parse_param(name, value)?),
+                "tickets" => tickets = parse_param(name, value)?,
+                "zone" => zone = Some(parse_param(name, value)?),
+                "workspace" => workspace = Some(parse_param(name, value)?),
                 _ => {}
             }
         }
@@ -106,7 +106,7 @@
     }
 }
 
-fn part<T: std::str::FromStr>(name: &str, value: &str) -> Result<T, Refused>
+fn parse_param<T: std::str::FromStr>(name: &str, value: &str) -> Result<T, Refused>
 where
     T::Err: std::fmt::Display,
 {
--- a/crates/callers/src/wire.rs
+++ b/crates/callers/src/caller_socket.rs
@@ -1,4 +1,4 @@
-//! A caller's connection: its socket and the bytes read from it but not used yet.
+//! A caller's socket with a read-ahead buffer.
 
 use {
     crate::{
@@ -41,67 +41,68 @@
 };
 
 const READ_BYTES: usize = 8 * 1024;
-/// Most bytes kept of requests that were sent before the answer to the one before.
-const AHEAD_BYTES: usize = 16 * 1024;
-/// How long, and how many bytes, are read off after a refusal before the socket is closed.
-const LINGER: Duration = Duration::from_secs(1);
+/// Limit on buffered bytes of pipelined requests.
+const READ_AHEAD_BYTES: usize = 16 * 1024;
+/// Limits on the time and the bytes spent draining a socket after a rejection, before closing it.
+const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 const LINGER_BYTES: usize = 1024 * 1024;
 
-/// The socket and the bytes read ahead.
+/// A socket and the bytes read ahead of the HTTP library.
 ///
-/// The HTTP library makes a new buffered reader for each request and drops it with what it
-/// holds. A caller that sends its next request early would lose it, and the rest would be
-/// taken for a head. So the library reads through here, and gets the bytes of one request only.
+/// The HTTP library creates a buffered reader for each request and drops it together with its
+/// buffer. That would lose the start of a pipelined request, and the remainder would be parsed
+/// as a head. The library therefore reads through this type, which gives it the bytes of one
+/// request only.
 #[derive(Debug, Clone)]
-pub(crate) struct Wire {
+pub(crate) struct CallerSocket {
     socket: TcpStream,
-    ahead: Arc<Mutex<Ahead>>,
+    ahead: Arc<Mutex<ReadAhead>>,
 }
 
 #[derive(Debug, Default)]
-struct Ahead {
+struct ReadAhead {
     bytes: Vec<u8>,
-    /// How many bytes the library may still read.
-    allowed: u64,
+    /// Number of bytes that the library may still read.
+    read_limit: u64,
 }
 
-impl Wire {
-    pub(crate) fn new(socket: TcpStream) -> Wire {
-        Wire {
+impl CallerSocket {
+    pub(crate) fn new(socket: TcpStream) -> CallerSocket {
+        CallerSocket {
             socket,
             ahead: Arc::default(),
         }
     }
 
-    fn ahead(&self) -> MutexGuard<'_, Ahead> {
+    fn ahead(&self) -> MutexGuard<'_, ReadAhead> {
         self.ahead.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns how many bytes are read ahead.
-    pub(crate) fn held(&self) -> usize {
+    /// Returns the number of bytes read ahead.
+    pub(crate) fn buffered_len(&self) -> usize {
         self.ahead().bytes.len()
     }
 
-    /// Lets the library read `n` bytes more, and no byte beyond.
-    pub(crate) fn allow(&self, n: u64) {
-        self.ahead().allowed = n;
+    /// Allows the library to read `n` more bytes.
+    pub(crate) fn set_read_limit(&self, n: u64) {
+        self.ahead().read_limit = n;
     }
 
-    /// Returns the length of the head, once it is here whole.
+    /// Returns the length of the head if it has arrived completely.
     pub(crate) fn head_len(&self) -> Option<usize> {
         let ahead = self.ahead();
         let end = ahead.bytes.windows(4).position(|w| w == b"\r\n\r\n")?;
         Some(end + 4)
     }
 
-    /// Looks at the first bytes read ahead.
-    pub(crate) fn look<T>(&self, len: usize, f: impl FnOnce(&[u8]) -> T) -> T {
+    /// Passes the first `len` bytes read ahead to `f` without consuming them.
+    pub(crate) fn peek_buffered<T>(&self, len: usize, f: impl FnOnce(&[u8]) -> T) -> T {
         f(&self.ahead().bytes[..len])
     }
 
-    /// Reads some bytes ahead. Returns how many, 0 at the end.
+    /// Reads bytes into the buffer. Returns their number, 0 at the end of the stream.
     pub(crate) async fn fill(&self) -> io::Result<usize> {
-        // The buffer lives only while bytes are here, so that an idle connection holds none.
+        // The buffer is on the stack of one poll, so an idle connection allocates none.
         poll_fn(|cx| {
             let mut buf = [0; READ_BYTES];
             let n = ready!(Pin::new(&mut &self.socket).poll_read(cx, &mut buf))?;
@@ -111,12 +112,12 @@
         .await
     }
 
-    /// Fires the signal when the caller hangs up. Never ends.
-    pub(crate) async fn watch(&self, disconnect: &DisconnectSignal) -> Infallible {
-        // Writing alone finds a hang-up only at the first answer bytes, which may be minutes
-        // later. So the socket is read meanwhile; a caller may send its next request early,
-        // and that is kept, up to a bound beyond which nothing is read or noticed.
-        while self.held() < AHEAD_BYTES {
+    /// Fires the signal when the caller disconnects. Never returns.
+    pub(crate) async fn watch_disconnect(&self, disconnect: &DisconnectSignal) -> Infallible {
+        // A write detects a disconnect only at the first response bytes, which may be minutes
+        // later, so the socket is read meanwhile. Pipelined requests are buffered up to a limit;
+        // beyond it nothing is read and a disconnect is not detected.
+        while self.buffered_len() < READ_AHEAD_BYTES {
             match self.fill().await {
                 Ok(0) | Err(_) => {
                     disconnect.fire();
@@ -128,28 +129,28 @@
         pending().await
     }
 
-    /// Writes bytes, or fails where the caller does not read them in time.
-    pub(crate) async fn write(&self, bytes: &[u8], stall: Duration) -> io::Result<()> {
-        async_std::io::timeout(stall, (&self.socket).write_all(bytes)).await
+    /// Writes bytes; fails if the caller does not read them within `stall_timeout`.
+    pub(crate) async fn write(&self, bytes: &[u8], stall_timeout: Duration) -> io::Result<()> {
+        async_std::io::timeout(stall_timeout, (&self.socket).write_all(bytes)).await
     }
 
-    /// Writes an answer to whatever the caller may ask, and closes.
-    pub(crate) async fn turn_away(&self, response: Response) {
+    /// Writes a response without reading a request, and closes the connection.
+    pub(crate) async fn reject(&self, response: Response) {
         let mut http = response.into_http(None);
         http.insert_header("connection", "close");
         let mut bytes = Vec::new();
         let encoded = Encoder::new(http, Method::Get)
             .read_to_end(&mut bytes)
             .await;
-        if encoded.is_ok() && self.write(&bytes, LINGER).await.is_ok() {
+        if encoded.is_ok() && self.write(&bytes, LINGER_TIMEOUT).await.is_ok() {
             self.linger().await;
         }
     }
 
-    /// Closes the connection so that the last answer arrives.
+    /// Closes the connection in a way that lets the last response arrive.
     pub(crate) async fn linger(&self) {
-        // Closing a socket with unread bytes resets it, and the caller may lose the refusal
-        // it was sent. So what the caller still sends is read off, within bounds.
+        // Closing a socket with unread bytes resets the connection, and the caller may lose the
+        // response. So incoming bytes are drained first, within limits.
         let _ = self.socket.shutdown(Shutdown::Write);
         let drain = async {
             let mut left = LINGER_BYTES;
@@ -162,38 +163,38 @@
             }
             Ok(())
         };
-        let _ = async_std::io::timeout(LINGER, drain).await;
+        let _ = async_std::io::timeout(LINGER_TIMEOUT, drain).await;
     }
 }
 
-impl AsyncRead for Wire {
+impl AsyncRead for CallerSocket {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         let mut ahead = self.ahead();
-        let most = ahead.allowed.min(buf.len() as u64) as usize;
-        let n = if most == 0 {
+        let limit = ahead.read_limit.min(buf.len() as u64) as usize;
+        let n = if limit == 0 {
             0
         } else if ahead.bytes.is_empty() {
-            ready!(Pin::new(&mut &self.socket).poll_read(cx, &mut buf[..most]))?
+            ready!(Pin::new(&mut &self.socket).poll_read(cx, &mut buf[..limit]))?
         } else {
-            let n = most.min(ahead.bytes.len());
+            let n = limit.min(ahead.bytes.len());
             buf[..n].copy_from_slice(&ahead.bytes[..n]);
             ahead.bytes.drain(..n);
             n
         };
-        ahead.allowed -= n as u64;
-        // The library's decoder of chunks loses its wake-up where the line end behind the last
-        // chunk comes in pieces: it reads one and waits without having asked for the next. The
-        // request would hang with its whole body here. This wake-up makes it ask again.
+        ahead.read_limit -= n as u64;
+        // The library's chunk decoder returns Pending without registering a waker if the line
+        // end after the last chunk arrives in several reads. The request would hang although
+        // its body has arrived. This wake-up polls the decoder again.
         cx.waker().wake_by_ref();
         Poll::Ready(Ok(n))
     }
 }
 
-impl AsyncWrite for Wire {
+impl AsyncWrite for CallerSocket {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/callers/src/client/steps.rs
+++ b/crates/callers/src/client/attempts.rs
@@ -1,15 +1,15 @@
-//! The client: which router next, and what may be sent again.
+//! The client: chooses routers and decides which requests may be retried.
 
 use {
     super::{
+        cache::Cache,
         exchange::{
-            plain,
-            request_of,
+            bare_request,
+            build_request,
+            AttemptResult, //
             Exchange,
             OnChunk,
-            Tried, //
         },
-        known::Known,
         pool::Pool,
         Answer,
         Call,
@@ -37,60 +37,60 @@
     },
 };
 
-/// Time for a question which address to use.
-const ASK_TIME: Duration = Duration::from_secs(3);
-/// Least pause before asking again about a request that runs.
-const RUNS_PAUSE: Duration = Duration::from_millis(100);
+/// Timeout of a request for addresses and tickets.
+const ADDRESS_TIMEOUT: Duration = Duration::from_secs(3);
+/// Minimum pause before polling again for the result of a running request.
+const MIN_POLL_PAUSE: Duration = Duration::from_millis(100);
 
-/// A client of a fleet of routers. Cheap to clone; clones share what is kept.
+/// A client of a fleet of routers. Cheap to clone; clones share the cache and the connections.
 #[derive(Debug, Clone)]
 pub struct Client(Arc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
     settings: ClientSettings,
-    known: Known,
+    cache: Cache,
     pool: Pool,
 }
 
-/// How far a call has come.
+/// The state of a call across its attempts.
 struct Progress {
-    until: Instant,
+    deadline: Instant,
     ticket: Option<String>,
-    /// How often it was sent under this ticket.
+    /// How often the request was sent with this ticket.
     sends: u32,
-    /// An answer was lost, so it may have run.
+    /// An answer was lost, so the request may have run.
     lost: bool,
     last: Answer,
 }
 
 impl Client {
-    /// Makes a client.
+    /// Creates a client.
     pub fn new(settings: ClientSettings) -> Client {
         Client(Arc::new(Inner {
             settings,
-            known: Known::default(),
+            cache: Cache::default(),
             pool: Pool::default(),
         }))
     }
 
-    /// Returns the addresses to use for a service, asking only where the last answer is too old.
+    /// Returns the addresses to use for a service, from the cache unless they have expired.
     ///
     /// # Errors
     ///
-    /// The last refusal, or that no router could be reached.
+    /// The last rejection, or `NoEndpoint` if no router could be reached.
     pub async fn addresses(&self, service: &ServiceId) -> Result<AddressList, Refused> {
-        let known = &self.0.known;
-        if let Some(answer) = known.answer(service) {
+        let cache = &self.0.cache;
+        if let Some(answer) = cache.addresses(service) {
             return Ok(answer);
         }
         let mut last = Refused::new(Reason::NoEndpoint, "no router is known; give an address");
-        let mut asked = known.stale(service);
-        asked.extend(&self.0.settings.routers);
-        for router in asked {
+        let mut routers = cache.last_addresses(service);
+        routers.extend(&self.0.settings.routers);
+        for router in routers {
             match self.fetch_addresses(service, router, 0).await {
                 Ok(answer) if !answer.addresses.is_empty() => {
-                    known.keep(service, &answer);
+                    cache.store_addresses(service, &answer);
                     return Ok(answer);
                 }
                 Ok(_) => {}
@@ -100,13 +100,13 @@
         Err(last)
     }
 
-    /// Calls a service and returns the whole answer.
+    /// Calls a service and returns the complete answer.
     pub async fn call(&self, call: &Call) -> Answer {
         self.run(call, &mut None).await
     }
 
-    /// Calls a service. Each piece of a streamed body is passed to `on_chunk` as it comes; from
-    /// the first one on, the call is not tried again.
+    /// Calls a service and passes each chunk of a streamed body to `on_chunk` as it arrives.
+    /// After the first chunk the call is not retried.
     pub async fn call_streamed(
         &self,
         call: &Call,
@@ -120,9 +120,9 @@
             Ok(route) => route,
             Err(refused) => return Answer::refused(refused),
         };
-        let time = call.deadline.unwrap_or(self.0.settings.timeout);
+        let timeout = call.deadline.unwrap_or(self.0.settings.timeout);
         let mut progress = Progress {
-            until: Instant::now() + time,
+            deadline: Instant::now() + timeout,
             ticket: None,
             sends: 0,
             lost: false,
@@ -130,25 +130,25 @@
         };
         let max_attempts = self.0.settings.max_attempts;
         for (n, router) in route.iter().cycle().take(max_attempts).enumerate() {
-            if n > 0 && Instant::now() >= progress.until {
+            if n > 0 && Instant::now() >= progress.deadline {
                 break;
             }
-            let mut done = self.step(call, *router, &mut progress, on_chunk).await;
-            while let Some(pause) = progress.runs_on() {
+            let mut ended = self.attempt(call, *router, &mut progress, on_chunk).await;
+            while let Some(pause) = progress.poll_pause() {
                 task::sleep(pause).await;
-                done = self.step(call, *router, &mut progress, on_chunk).await;
+                ended = self.attempt(call, *router, &mut progress, on_chunk).await;
             }
             progress.last.attempts = n + 1;
-            if done {
+            if ended {
                 break;
             }
-            self.0.known.forget(&call.service);
+            self.0.cache.expire_addresses(&call.service);
         }
-        progress.finish()
+        progress.into_answer()
     }
 
-    /// Tries one router. Returns whether the call ended.
-    async fn step(
+    /// Sends the call to one router. Returns whether the call ended.
+    async fn attempt(
         &self,
         call: &Call,
         router: SocketAddr,
@@ -164,16 +164,16 @@
                 }
             }
         }
-        let tried = self.try_once(call, router, progress, on_chunk).await;
-        let ended = progress.take(tried, router);
+        let result = self.send(call, router, progress, on_chunk).await;
+        let ended = progress.apply(result, router);
         progress.last.ticket.clone_from(&progress.ticket);
         if progress.orphaned() {
-            // The others of that router's start are worth as little.
-            self.0.known.drop_tickets(&call.service, router);
+            // Other tickets of that incarnation of the router are orphaned too.
+            self.0.cache.drop_tickets(&call.service, router);
         }
-        // After a lost answer a `not-run` speaks of the last try only, not of the one before:
-        // a new ticket could run the request twice.
-        if !ended && (!progress.lost || progress.of_ticket()) {
+        // After a lost answer, `not-run` refers to the last attempt only, and the lost one may
+        // have run: with a new ticket the request could run twice.
+        if !ended && (!progress.lost || progress.covers_all_attempts()) {
             progress.ticket = None;
             progress.sends = 0;
             progress.lost = false;
@@ -181,28 +181,28 @@
         ended
     }
 
-    async fn try_once(
+    async fn send(
         &self,
         call: &Call,
         router: SocketAddr,
         progress: &Progress,
         on_chunk: &mut OnChunk<'_>,
-    ) -> Tried {
-        let deadline = call.deadline.map(|_| progress.until);
-        let Some(http) = request_of(call, router, deadline, progress.ticket.as_deref()) else {
+    ) -> AttemptResult {
+        let deadline = call.deadline.map(|_| progress.deadline);
+        let Some(http) = build_request(call, router, deadline, progress.ticket.as_deref()) else {
             let bad = "the method, path or a header can't be sent; use printable ASCII";
-            return Tried::Whole(Answer::refused(Refused::new(Reason::BadRequest, bad)));
+            return AttemptResult::Complete(Answer::refused(Refused::new(Reason::BadRequest, bad)));
         };
         let exchange = Exchange {
             pool: &self.0.pool,
             router,
             idle_timeout: self.0.settings.idle_timeout,
-            until: progress.until,
+            deadline: progress.deadline,
         };
         exchange.run(http, on_chunk).await
     }
 
-    /// Returns the addresses in the order in which they are tried.
+    /// Returns the addresses in the order of the attempts.
     async fn route(&self, service: &ServiceId) -> Result<Vec<SocketAddr>, Refused> {
         if self.0.settings.pinned {
             return Ok(self.0.settings.routers.clone());
@@ -220,15 +220,15 @@
     }
 
     async fn ticket(&self, service: &ServiceId, router: SocketAddr) -> Result<String, Refused> {
-        let known = &self.0.known;
-        if let Some(ticket) = known.ticket(service, router) {
+        let cache = &self.0.cache;
+        if let Some(ticket) = cache.take_ticket(service, router) {
             return Ok(ticket);
         }
         let answer = self
             .fetch_addresses(service, router, self.0.settings.tickets)
             .await?;
-        known.keep_tickets(service, router, &answer);
-        known.ticket(service, router).ok_or_else(|| {
+        cache.store_tickets(service, router, &answer);
+        cache.take_ticket(service, router).ok_or_else(|| {
             Refused::new(
                 Reason::TicketNeeded,
                 "the router gave no ticket; ask another one",
@@ -236,11 +236,11 @@
         })
     }
 
-    /// Asks one router which address to use, and for tickets.
+    /// Fetches the address list and tickets from one router.
     ///
     /// # Errors
     ///
-    /// The router's refusal, or that it could not be reached.
+    /// The router's rejection, or `NoEndpoint` if it could not be reached.
     pub async fn fetch_addresses(
         &self,
         service: &ServiceId,
@@ -253,16 +253,16 @@
                 format!("no router answers at {router}; check the address"),
             )
         };
-        let target = self.question(service, tickets);
-        let http = plain("GET", router, &target).ok_or_else(unreachable)?;
+        let target = self.address_target(service, tickets);
+        let http = bare_request("GET", router, &target).ok_or_else(unreachable)?;
         let exchange = Exchange {
             pool: &self.0.pool,
             router,
-            idle_timeout: ASK_TIME,
-            until: Instant::now() + ASK_TIME,
+            idle_timeout: ADDRESS_TIMEOUT,
+            deadline: Instant::now() + ADDRESS_TIMEOUT,
         };
         let answer = match exchange.run(http, &mut None).await {
-            Tried::Whole(answer) => answer,
+            AttemptResult::Complete(answer) => answer,
             _ => return Err(unreachable()),
         };
         match answer.refused {
@@ -276,7 +276,7 @@
         }
     }
 
-    fn question(&self, service: &ServiceId, tickets: u32) -> String {
+    fn address_target(&self, service: &ServiceId, tickets: u32) -> String {
         let mut target = format!("{WHERE_PATH}?service={service}&tickets={tickets}");
         if let Some(zone) = &self.0.settings.zone {
             let _ = write!(target, "&zone={zone}");
@@ -289,19 +289,19 @@
 }
 
 impl Progress {
-    /// Takes in what came of a try. Returns whether the call ended.
-    fn take(&mut self, tried: Tried, router: SocketAddr) -> bool {
-        if !matches!(tried, Tried::Unsent) {
+    /// Applies the result of an attempt. Returns whether the call ended.
+    fn apply(&mut self, result: AttemptResult, router: SocketAddr) -> bool {
+        if !matches!(result, AttemptResult::Unsent) {
             self.sends += 1;
         }
-        match tried {
-            Tried::Whole(answer) => {
+        match result {
+            AttemptResult::Complete(answer) => {
                 self.last = answer;
-                self.settle_orphan();
-                !self.follows()
+                self.settle_unused_ticket();
+                !self.may_try_next()
             }
-            Tried::Cut(answer) => {
-                // Pieces were passed on already, so another answer can't be joined to them.
+            AttemptResult::Aborted(answer) => {
+                // Chunks were passed on already, and the chunks of two answers can't be combined.
                 if answer.refused.is_none() {
                     self.last = Answer {
                         refused: Answer::lost().refused,
@@ -312,11 +312,11 @@
                 }
                 true
             }
-            Tried::Unsent => {
+            AttemptResult::Unsent => {
                 self.last = Answer::unreachable(router);
                 false
             }
-            Tried::Lost => {
+            AttemptResult::Lost => {
                 self.lost = true;
                 self.last = Answer::lost();
                 false
@@ -324,13 +324,13 @@
         }
     }
 
-    /// Takes the ticket of a router that is gone for one that was never used, if it was.
+    /// Changes the outcome to `not-run` if the orphaned ticket was never used before.
     ///
-    /// A router that ends or restarts leaves unused tickets with callers, and nobody can
-    /// tell them from used ones but the caller. It would show as renewals that may have run
-    /// whenever routers are replaced. A ticket serves one request, so what was sent under it
-    /// for the first time, and not started, never ran.
-    fn settle_orphan(&mut self) {
+    /// When a router stops or restarts, its callers keep unused tickets, which only they can
+    /// distinguish from used ones. Without this check, requests would be reported as "may have
+    /// run" whenever routers are replaced. A ticket serves one request, so a request whose only
+    /// send under the ticket was rejected as orphaned never ran.
+    fn settle_unused_ticket(&mut self) {
         if self.orphaned() && self.ticket.is_some() && self.sends == 1 {
             self.last.outcome = Outcome::NotRun;
             if let Some(refused) = &mut self.last.refused {
@@ -339,24 +339,24 @@
         }
     }
 
-    /// Returns whether nobody remembers the ticket.
+    /// Returns whether the ticket was rejected because no router holds it any more.
     fn orphaned(&self) -> bool {
         let reason = self.last.refused.as_ref().map(|r| r.reason);
         reason == Some(Reason::TicketOrphaned)
     }
 
-    /// Returns when to ask again under the same ticket, where its request still runs.
-    fn runs_on(&self) -> Option<Duration> {
+    /// Returns the pause before polling with the same ticket, if its request is still running.
+    fn poll_pause(&self) -> Option<Duration> {
         let refused = self.last.refused.as_ref();
         let running = refused.filter(|r| r.reason == Reason::TicketRunning)?;
-        let pause = Duration::from_millis(running.retry_ms.unwrap_or(0)).max(RUNS_PAUSE);
-        (Instant::now() + pause < self.until).then_some(pause)
+        let pause = Duration::from_millis(running.retry_ms.unwrap_or(0)).max(MIN_POLL_PAUSE);
+        (Instant::now() + pause < self.deadline).then_some(pause)
     }
 
-    /// Returns the last answer, unless it claims more than is known of all tries together.
-    fn finish(self) -> Answer {
-        let settled = self.last.outcome != Outcome::NotRun || self.of_ticket();
-        if !self.lost || settled {
+    /// Returns the last answer, or a lost answer if the last one does not cover all attempts.
+    fn into_answer(self) -> Answer {
+        let is_final = self.last.outcome != Outcome::NotRun || self.covers_all_attempts();
+        if !self.lost || is_final {
             return self.last;
         }
         Answer {
@@ -367,14 +367,14 @@
         }
     }
 
-    /// Returns whether the last outcome is that of the ticket, not of the last try only.
-    fn of_ticket(&self) -> bool {
+    /// Returns whether the last outcome applies to the ticket, and so to all attempts with it.
+    fn covers_all_attempts(&self) -> bool {
         let reason = self.last.refused.as_ref().map(|r| r.reason);
         matches!(reason, Some(Reason::TicketUsed | Reason::TicketExpired))
     }
 
-    /// Returns whether the last refusal may be followed by a try at another router.
-    fn follows(&self) -> bool {
+    /// Returns whether another router may be tried after the last rejection.
+    fn may_try_next(&self) -> bool {
         let elsewhere = matches!(
             self.last.refused.as_ref().map(|r| r.reason),
             Some(
--- a/crates/callers/src/client/call.rs
+++ b/crates/callers/src/client/call.rs
@@ -1,4 +1,4 @@
-//! A call and its answer, as the client's user sees them.
+//! Calls of a service and their answers.
 
 use {
     crate::{
@@ -22,49 +22,49 @@
 pub struct Call {
     /// The service.
     pub service: ServiceId,
-    /// The workspace that asks.
+    /// The workspace that sends the call.
     pub workspace: WorkspaceId,
     /// The profile.
     pub profile: ProfileName,
-    /// Time until the answer is of no use.
+    /// Time until the deadline.
     pub deadline: Option<Duration>,
-    /// It may not be repeated, so it needs a ticket.
+    /// The call must run at most once, so it needs a ticket.
     pub at_most_once: bool,
-    /// The name in logs.
+    /// The request ID in logs.
     pub id: Option<String>,
     /// The HTTP method.
     pub method: String,
     /// Path and query.
     pub target: String,
-    /// Further headers.
+    /// Additional headers.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Vec<u8>,
 }
 
-/// What came of a call.
+/// The result of a call.
 #[derive(Debug, Clone)]
 pub struct Answer {
     /// How it ended.
     pub outcome: Outcome,
-    /// The HTTP status, where an answer came.
+    /// The HTTP status, if a response was received.
     pub status: Option<u16>,
-    /// Headers of the answer.
+    /// Headers of the response.
     pub headers: Vec<(String, String)>,
-    /// The body, as far as it came.
+    /// The body, as far as it was received.
     pub body: Vec<u8>,
-    /// Why there is no whole answer.
+    /// The rejection or error, if there is no complete answer.
     pub refused: Option<Refused>,
     /// The router that answered last.
     pub router: Option<SocketAddr>,
-    /// The ticket it went under last.
+    /// The ticket that was sent last.
     pub ticket: Option<String>,
-    /// How many times it was sent or a connection for it was tried.
+    /// Number of attempts, including those that failed to connect.
     pub attempts: usize,
 }
 
 impl Call {
-    /// Makes a POST that may be repeated.
+    /// Creates a POST call that may be repeated.
     pub fn post(
         service: ServiceId,
         workspace: WorkspaceId,
--- a/crates/callers/src/client/exchange.rs
+++ b/crates/callers/src/client/exchange.rs
@@ -1,9 +1,9 @@
-//! One try: a request written to one router, and its answer read.
+//! One attempt: writes a request to one router and reads the answer.
 
 use {
     super::{
-        eager::Eager,
         pool::Pool,
+        repolling_socket::RepollingSocket,
         Answer,
         Call, //
     },
@@ -43,68 +43,76 @@
     },
 };
 
-/// What takes a streamed body, piece by piece.
+/// Callback that receives the chunks of a streamed body.
 pub(crate) type OnChunk<'a> = Option<&'a mut (dyn FnMut(&[u8]) + Send)>;
 
 const READ_BYTES: usize = 16 * 1024;
 
-/// What came of one try.
-pub(crate) enum Tried {
-    /// A whole answer, or a refusal.
-    Whole(Answer),
-    /// The body was cut after a part of it was passed on, or its last event tells why.
-    Cut(Answer),
-    /// No connection was made, so nothing ran.
+/// The result of one attempt.
+pub(crate) enum AttemptResult {
+    /// A complete answer, or a rejection.
+    Complete(Answer),
+    /// The body was aborted after a part of it was passed on, or its last event gives the reason.
+    Aborted(Answer),
+    /// The request was not sent, so it did not run.
     Unsent,
-    /// It was sent, and no answer came.
+    /// The request may have been sent, and no complete answer was received.
     Lost,
 }
 
-/// What one try needs.
+/// The parameters of one attempt.
 pub(crate) struct Exchange<'a> {
     pub(crate) pool: &'a Pool,
     pub(crate) router: SocketAddr,
-    /// Longest time without a byte.
+    /// Longest time without progress on the connection.
     pub(crate) idle_timeout: std::time::Duration,
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
 }
 
 impl Exchange<'_> {
-    pub(crate) async fn run(self, http: http_types::Request, on_chunk: &mut OnChunk<'_>) -> Tried {
+    pub(crate) async fn run(
+        self,
+        http: http_types::Request,
+        on_chunk: &mut OnChunk<'_>,
+    ) -> AttemptResult {
         let Ok(mut socket) = self.pool.get(self.router).await else {
-            return Tried::Unsent;
+            return AttemptResult::Unsent;
         };
         let mut bytes = Vec::new();
-        // The library's copy of a request has no body, so the request itself is encoded.
+        // A clone of the library's request has no body, so the request itself is encoded.
         let encoded = Encoder::new(http).read_to_end(&mut bytes).await;
         if encoded.is_err() {
-            return Tried::Unsent;
+            return AttemptResult::Unsent;
         }
-        if self.bounded(socket.write_all(&bytes)).await.is_err() {
-            return Tried::Lost;
+        if self.with_timeout(socket.write_all(&bytes)).await.is_err() {
+            return AttemptResult::Lost;
         }
         let read = async {
-            decode(Eager(socket.clone()))
+            decode(RepollingSocket(socket.clone()))
                 .await
                 .map_err(io::Error::other)
         };
-        let Ok(mut http) = self.bounded(read).await else {
-            return Tried::Lost;
+        let Ok(mut http) = self.with_timeout(read).await else {
+            return AttemptResult::Lost;
         };
-        let mut answer = head_of(&http, self.router);
-        let begun = on_chunk.is_some() && http.len().is_none();
-        let whole = self.body(&mut http, &mut answer, on_chunk).await;
+        let mut answer = parse_head(&http, self.router);
+        let streaming = on_chunk.is_some() && http.len().is_none();
+        let complete = self.read_body(&mut http, &mut answer, on_chunk).await;
         let close = answer.header("connection") == Some("close");
-        if whole && !close {
+        if complete && !close {
             self.pool.put(self.router, socket);
         }
-        match settle(answer, whole) {
-            Tried::Cut(a) if a.refused.is_none() && (a.body.is_empty() || !begun) => Tried::Lost,
-            tried => tried,
+        match classify(answer, complete) {
+            AttemptResult::Aborted(a)
+                if a.refused.is_none() && (a.body.is_empty() || !streaming) =>
+            {
+                AttemptResult::Lost
+            }
+            result => result,
         }
     }
 
-    async fn body(
+    async fn read_body(
         &self,
         http: &mut http_types::Response,
         answer: &mut Answer,
@@ -113,79 +121,83 @@
         let streamed = http.len().is_none();
         let mut buf = vec![0; READ_BYTES];
         loop {
-            match self.bounded(http.read(&mut buf)).await {
+            match self.with_timeout(http.read(&mut buf)).await {
                 Ok(0) => break,
                 Ok(n) => {
-                    if let Some(f) = on_chunk.as_mut().filter(|_| streamed) {
-                        f(&buf[..n]);
+                    if let Some(on_chunk) = on_chunk.as_mut().filter(|_| streamed) {
+                        on_chunk(&buf[..n]);
                     }
                     answer.body.extend_from_slice(&buf[..n]);
                 }
                 Err(_) => return false,
             }
         }
-        // The library takes a body that ends early for a whole one.
+        // The library reports no error for a body that is shorter than its `content-length`.
         if http.len().is_some_and(|len| answer.body.len() < len) {
             return false;
         }
-        // A whole answer is passed on only once it is here, so that a cut one can be asked again.
-        if let Some(f) = on_chunk.as_mut().filter(|_| !streamed) {
-            f(&answer.body);
+        // Other answers are passed on once complete, so that an aborted one can be retried.
+        if let Some(on_chunk) = on_chunk.as_mut().filter(|_| !streamed) {
+            on_chunk(&answer.body);
         }
         true
     }
 
-    async fn bounded<T>(
+    async fn with_timeout<T>(
         &self,
         work: impl std::future::Future<Output = io::Result<T>>,
     ) -> io::Result<T> {
-        let left = self.until.saturating_duration_since(Instant::now());
+        let left = self.deadline.saturating_duration_since(Instant::now());
         async_std::io::timeout(left.min(self.idle_timeout), work).await
     }
 }
 
-/// Makes the HTTP request of a call.
-pub(crate) fn request_of(
+/// Builds the HTTP request of a call.
+pub(crate) fn build_request(
     call: &Call,
     router: SocketAddr,
-    until: Option<Instant>,
+    deadline: Option<Instant>,
     ticket: Option<&str>,
 ) -> Option<http_types::Request> {
-    let mut http = plain(&call.method, router, &call.target)?;
-    let deadline = until.map(|u| {
-        let left = u.saturating_duration_since(Instant::now());
+    let mut http = bare_request(&call.method, router, &call.target)?;
+    let deadline_ms = deadline.map(|d| {
+        let left = d.saturating_duration_since(Instant::now());
         left.as_millis().to_string()
     });
-    let ours = [
+    let router_headers = [
         (SERVICE, Some(call.service.as_str())),
         (WORKSPACE, Some(call.workspace.as_str())),
         (PROFILE, Some(call.profile.as_str())),
-        (DEADLINE_MS, deadline.as_deref()),
+        (DEADLINE_MS, deadline_ms.as_deref()),
         (TICKET, ticket),
         (REQUEST_ID, call.id.as_deref()),
     ];
-    // The body first: it would set a content type of its own.
+    // The body comes first because setting it also sets a content type.
     http.set_body(call.body.clone());
     http.remove_header("content-type");
     for (name, value) in &call.headers {
-        add(&mut http, name, value)?;
+        append_header(&mut http, name, value)?;
     }
-    for (name, value) in ours {
+    for (name, value) in router_headers {
         if let Some(value) = value {
-            add(&mut http, name, value)?;
+            append_header(&mut http, name, value)?;
         }
     }
     Some(http)
 }
 
-/// Makes a request without a body.
-pub(crate) fn plain(method: &str, router: SocketAddr, target: &str) -> Option<http_types::Request> {
+/// Builds a request without a body.
+pub(crate) fn bare_request(
+    method: &str,
+    router: SocketAddr,
+    target: &str,
+) -> Option<http_types::Request> {
     let method: Method = method.parse().ok()?;
     let url = Url::parse(&format!("http://{router}{target}")).ok()?;
     Some(http_types::Request::new(method, url))
 }
 
-fn add(http: &mut http_types::Request, name: &str, value: &str) -> Option<()> {
+fn append_header(http: &mut http_types::Request, name: &str, value: &str) -> Option<()> {
     if value.contains(['\r', '\n']) {
         return None;
     }
@@ -195,7 +207,7 @@
     Some(())
 }
 
-fn head_of(http: &http_types::Response, router: SocketAddr) -> Answer {
+fn parse_head(http: &http_types::Response, router: SocketAddr) -> Answer {
     let mut headers = Vec::new();
     for (name, values) in http.iter() {
         let name = name.as_str();
@@ -213,25 +225,25 @@
     }
 }
 
-/// Finds the outcome from the head, or from how the body ended.
-fn settle(mut answer: Answer, whole: bool) -> Tried {
-    if !whole {
-        if let Some(refused) = last_event(&answer.body) {
+/// Determines the outcome from the head, or from the end of an aborted body.
+fn classify(mut answer: Answer, complete: bool) -> AttemptResult {
+    if !complete {
+        if let Some(refused) = parse_error_event(&answer.body) {
             answer.outcome = refused.outcome;
             answer.refused = Some(refused);
         }
-        return Tried::Cut(answer);
+        return AttemptResult::Aborted(answer);
     }
     let head = answer.header(OUTCOME).and_then(|v| v.parse().ok());
     answer.outcome = head.unwrap_or(Outcome::Answered);
-    // A ticket's recorded outcome may be `answered` though the answer itself is gone.
+    // A ticket's recorded outcome may be `answered` although the answer is no longer stored.
     if answer.status >= Some(400) {
         answer.refused = serde_json::from_slice(&answer.body).ok();
     }
-    Tried::Whole(answer)
+    AttemptResult::Complete(answer)
 }
 
-fn last_event(body: &[u8]) -> Option<Refused> {
+fn parse_error_event(body: &[u8]) -> Option<Refused> {
     let text = std::str::from_utf8(body).ok()?;
     let (_, json) = text.rsplit_once("event: error\ndata: ")?;
     serde_json::from_str(json.trim_end()).ok()
--- a/crates/callers/src/client/mod.rs
+++ b/crates/callers/src/client/mod.rs
@@ -1,18 +1,18 @@
-//! A client of the callers' interface, for our own commands, the demo and measurements.
+//! A client of the caller API, for the commands, the demo and measurements of this program.
 
+mod attempts;
+mod cache;
 mod call;
-mod eager;
 mod exchange;
-mod known;
 mod pool;
+mod repolling_socket;
 mod settings;
-mod steps;
 
 pub use self::{
+    attempts::Client,
     call::{
         Answer,
         Call, //
     },
     settings::ClientSettings,
-    steps::Client,
 };
--- a/crates/callers/src/client/eager.rs
+++ b/crates/callers/src/client/repolling_socket.rs
@@ -1,4 +1,4 @@
-//! A socket as the HTTP library's decoder needs it.
+//! A workaround for a missing wake-up in the HTTP library's decoder.
 
 use {
     async_std::net::TcpStream,
@@ -13,15 +13,15 @@
     },
 };
 
-/// A socket whose reader is polled once more after each read.
+/// A socket that wakes its reader again after each read.
 ///
-/// The decoder of chunks loses its wake-up where the last line end of a body comes in pieces:
-/// it reads one and waits without having asked for the next. The call would hang with its
-/// whole answer here. The extra wake-up makes it ask again.
+/// The library's chunk decoder returns Pending without registering a waker if the last line end
+/// of a body arrives in several reads. The call would hang although its answer has arrived. The
+/// extra wake-up polls the decoder again.
 #[derive(Debug)]
-pub(crate) struct Eager(pub(crate) TcpStream);
+pub(crate) struct RepollingSocket(pub(crate) TcpStream);
 
-impl AsyncRead for Eager {
+impl AsyncRead for RepollingSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/callers/src/client/settings.rs
+++ b/crates/callers/src/client/settings.rs
@@ -14,27 +14,27 @@
 /// Settings of a [`Client`](super::Client).
 #[derive(Debug, Clone)]
 pub struct ClientSettings {
-    /// Routers to ask for addresses, tried in this order.
+    /// Routers to fetch addresses from, in order of preference.
     pub routers: Vec<SocketAddr>,
-    /// Calls go to `routers` in their order, whatever the fleet would advise; for measuring.
+    /// Sends calls to `routers` in order instead of fetching addresses; for measurements.
     pub pinned: bool,
     /// The caller's availability zone.
     pub zone: Option<Zone>,
-    /// The workspace named when asking for addresses.
+    /// The workspace that is sent when fetching addresses.
     pub workspace: Option<WorkspaceId>,
-    /// How many tickets are asked for at a time.
+    /// Number of tickets that are fetched at once.
     pub tickets: u32,
-    /// Most tries of one call, the first included.
+    /// Maximum attempts of one call, including the first.
     pub max_attempts: usize,
-    /// Time for a call without a deadline.
+    /// Timeout of a call without a deadline.
     pub timeout: Duration,
-    /// Longest time without a byte before an answer counts as lost. It must be above the
-    /// time that a request may be queued: what is asked again loses its place.
+    /// Longest time without progress before an answer counts as lost. It must exceed the time
+    /// that a request may be queued, because a retry loses the position in the queue.
     pub idle_timeout: Duration,
 }
 
 impl ClientSettings {
-    /// Makes the usual settings.
+    /// Returns the default settings.
     pub fn new(routers: Vec<SocketAddr>) -> ClientSettings {
         ClientSettings {
             routers,
--- a/crates/callers/src/connection.rs
+++ b/crates/callers/src/connection.rs
@@ -1,14 +1,14 @@
-//! One caller's connection: request after request, until either side closes it.
+//! Serves the requests of one caller's connection.
 
 use {
     crate::{
+        caller_socket::CallerSocket,
         parse::{
             self,
             Framing,
             Parsed, //
         },
         server::Shared,
-        wire::Wire,
         Body,
         DisconnectSignal,
         IncomingRequest,
@@ -46,33 +46,33 @@
 
 const WRITE_BYTES: usize = 8 * 1024;
 
-/// A connection that is being served.
+/// A connection of a caller.
 pub(crate) struct Connection {
     pub(crate) shared: Arc<Shared>,
-    pub(crate) wire: Wire,
+    pub(crate) socket: CallerSocket,
     pub(crate) peer: SocketAddr,
     /// Closed when the server stops.
     pub(crate) stop: Receiver<()>,
 }
 
-/// A request in the HTTP library's form, its body not read yet.
+/// A decoded request head; the body has not been read yet.
 struct Head {
     http: http_types::Request,
     framing: Framing,
-    since: Instant,
+    started: Instant,
 }
 
-/// Why no further request is read.
-enum Stop {
-    /// The caller closed, or was idle too long, or the server stops.
+/// The reason for ending a connection.
+enum ConnectionEnd {
+    /// The caller closed the connection or was idle too long, or the server stops.
     Closed,
-    /// The caller is told why, then the connection is closed.
+    /// The request is rejected, then the connection is closed.
     Refused(Refused),
 }
 
-impl From<Refused> for Stop {
-    fn from(refused: Refused) -> Stop {
-        Stop::Refused(refused)
+impl From<Refused> for ConnectionEnd {
+    fn from(refused: Refused) -> ConnectionEnd {
+        ConnectionEnd::Refused(refused)
     }
 }
 
@@ -80,66 +80,68 @@
     /// Serves requests until the connection ends.
     pub(crate) async fn run(self) {
         loop {
-            match self.one().await {
+            match self.serve_request().await {
                 Ok(true) => {}
-                Ok(false) => return self.wire.linger().await,
-                Err(Stop::Closed) => return,
-                Err(Stop::Refused(refused)) => return self.refuse(refused).await,
+                Ok(false) => return self.socket.linger().await,
+                Err(ConnectionEnd::Closed) => return,
+                Err(ConnectionEnd::Refused(refused)) => return self.refuse(refused).await,
             }
         }
     }
 
-    /// Serves one request. Returns whether the connection is kept.
-    async fn one(&self) -> Result<bool, Stop> {
-        self.first_byte().await?;
-        let since = Instant::now();
-        let len = self.head_bytes().await?;
-        let head = self.head(len, since).await?;
-        let keep = keeps(&head);
+    /// Serves one request. Returns whether the connection stays open.
+    async fn serve_request(&self) -> Result<bool, ConnectionEnd> {
+        self.wait_for_request().await?;
+        let started = Instant::now();
+        let len = self.read_head().await?;
+        let head = self.decode_head(len, started).await?;
+        let keep_alive = can_keep_alive(&head);
         let method = head.http.method();
-        let (ask, id) = self.ask(head).await?;
-        let disconnect = disconnect_signal_of(&ask);
-        let response = self.handle(ask, &disconnect, id.as_ref()).await?;
-        let sent = self.send(response, &disconnect, method, id, keep).await;
+        let (request, id) = self.read_request(head).await?;
+        let disconnect = disconnect_signal_of(&request);
+        let response = self.run_handler(request, &disconnect, id.as_ref()).await?;
+        let sent = self
+            .send(response, &disconnect, method, id, keep_alive)
+            .await;
         if sent.is_err() {
             disconnect.fire();
         }
         sent
     }
 
-    /// Waits for the next request's first byte.
-    async fn first_byte(&self) -> Result<(), Stop> {
-        if self.wire.held() > 0 {
+    /// Waits for the first byte of the next request.
+    async fn wait_for_request(&self) -> Result<(), ConnectionEnd> {
+        if self.socket.buffered_len() > 0 {
             return Ok(());
         }
         let stopped = async {
             let _ = self.stop.recv().await;
-            // What arrived before the stop is still answered: the caller could not know.
-            match poll_once(self.wire.fill()).await {
+            // A request that arrived before the stop is still served: the caller could not know.
+            match poll_once(self.socket.fill()).await {
                 Some(Ok(n)) => Ok(n),
                 _ => Ok(0),
             }
         };
         let idle = self.shared.limits.idle_timeout;
-        match timeout(idle, or(self.wire.fill(), stopped)).await {
+        match timeout(idle, or(self.socket.fill(), stopped)).await {
             Ok(Ok(n)) if n > 0 => Ok(()),
-            _ => Err(Stop::Closed),
+            _ => Err(ConnectionEnd::Closed),
         }
     }
 
-    /// Waits for the end of the head. Returns its length.
-    async fn head_bytes(&self) -> Result<usize, Stop> {
+    /// Reads until the end of the head. Returns its length.
+    async fn read_head(&self) -> Result<usize, ConnectionEnd> {
         let limits = &self.shared.limits;
         let read = async {
             loop {
-                match self.wire.head_len() {
+                match self.socket.head_len() {
                     Some(len) if len <= limits.head_bytes => return Ok(len),
-                    None if self.wire.held() < limits.head_bytes => {}
+                    None if self.socket.buffered_len() < limits.head_bytes => {}
                     _ => return Err(head_too_large(limits.head_bytes).into()),
                 }
-                match self.wire.fill().await {
+                match self.socket.fill().await {
                     Ok(n) if n > 0 => {}
-                    _ => return Err(Stop::Closed),
+                    _ => return Err(ConnectionEnd::Closed),
                 }
             }
         };
@@ -154,15 +156,15 @@
             })
     }
 
-    /// Has the HTTP library read the head.
-    async fn head(&self, len: usize, since: Instant) -> Result<Head, Stop> {
+    /// Decodes the head with the HTTP library.
+    async fn decode_head(&self, len: usize, started: Instant) -> Result<Head, ConnectionEnd> {
         let limits = &self.shared.limits;
-        self.wire
-            .look(len, |bytes| parse::check_head(bytes, limits))?;
-        self.wire.allow(len as u64);
-        let http = match async_h1::server::decode(self.wire.clone()).await {
+        self.socket
+            .peek_buffered(len, |bytes| parse::check_head(bytes, limits))?;
+        self.socket.set_read_limit(len as u64);
+        let http = match async_h1::server::decode(self.socket.clone()).await {
             Ok(Some((http, _))) => http,
-            Ok(None) => return Err(Stop::Closed),
+            Ok(None) => return Err(ConnectionEnd::Closed),
             Err(e) => {
                 return Err(Refused::new(
                     Reason::BadRequest,
@@ -172,7 +174,7 @@
             }
         };
         let framing = parse::framing(&http, limits)?;
-        self.wire.allow(match framing {
+        self.socket.set_read_limit(match framing {
             Framing::Empty => 0,
             Framing::Fixed(n) => n,
             Framing::Chunked => u64::MAX,
@@ -180,18 +182,21 @@
         Ok(Head {
             http,
             framing,
-            since,
+            started,
         })
     }
 
     /// Checks the head and reads the body.
-    async fn ask(&self, mut head: Head) -> Result<(IncomingRequest, Option<RequestId>), Stop> {
+    async fn read_request(
+        &self,
+        mut head: Head,
+    ) -> Result<(IncomingRequest, Option<RequestId>), ConnectionEnd> {
         let parsed = parse::parse(&head.http, self.peer)?;
         let deadline = match &parsed {
             Parsed::Request(request) => request.deadline,
             Parsed::Addresses(_) => None,
         };
-        let body = self.body(&mut head, deadline).await?;
+        let body = self.read_body(&mut head, deadline).await?;
         match parsed {
             Parsed::Addresses(query) => {
                 let peer = self.peer;
@@ -199,7 +204,7 @@
             }
             Parsed::Request(mut request) => {
                 request.body = body;
-                shorten(&mut request, head.since)?;
+                subtract_elapsed(&mut request, head.started)?;
                 let id = request.id.clone();
                 let disconnect = DisconnectSignal::new();
                 Ok((
@@ -213,20 +218,24 @@
         }
     }
 
-    async fn body(&self, head: &mut Head, deadline: Option<Duration>) -> Result<Vec<u8>, Stop> {
+    async fn read_body(
+        &self,
+        head: &mut Head,
+        deadline: Option<Duration>,
+    ) -> Result<Vec<u8>, ConnectionEnd> {
         let limits = &self.shared.limits;
         let time = limits.body_timeout.min(deadline.unwrap_or(Duration::MAX));
-        let most = limits.body_bytes as u64;
+        let limit = limits.body_bytes as u64;
         let mut body = Vec::new();
-        let mut reader = head.http.take_body().into_reader().take(most + 1);
+        let mut reader = head.http.take_body().into_reader().take(limit + 1);
         // The library panics at a trailer that is not ASCII.
-        let whole = AssertUnwindSafe(reader.read_to_end(&mut body)).catch_unwind();
-        let whole = async {
-            whole
+        let read_all = AssertUnwindSafe(reader.read_to_end(&mut body)).catch_unwind();
+        let read_all = async {
+            read_all
                 .await
                 .unwrap_or(Err(io::ErrorKind::InvalidData.into()))
         };
-        let read = timeout(time, whole).await;
+        let read = timeout(time, read_all).await;
         match (read, head.framing) {
             (Err(_), _) if time < limits.body_timeout => Err(parse::expired().into()),
             (Err(_), _) => Err(Refused::new(
@@ -239,74 +248,74 @@
                 "the body's chunks are malformed; check what is sent",
             )
             .into()),
-            (Ok(Err(_)), _) => Err(Stop::Closed),
-            (Ok(Ok(n)), _) if n as u64 > most => Err(parse::too_large(limits).into()),
-            // The library takes a body that ends early for a whole one.
-            (Ok(Ok(n)), Framing::Fixed(len)) if (n as u64) < len => Err(Stop::Closed),
+            (Ok(Err(_)), _) => Err(ConnectionEnd::Closed),
+            (Ok(Ok(n)), _) if n as u64 > limit => Err(parse::body_too_large(limits).into()),
+            // The library reports no error for a body that is shorter than its `content-length`.
+            (Ok(Ok(n)), Framing::Fixed(len)) if (n as u64) < len => Err(ConnectionEnd::Closed),
             _ => Ok(body),
         }
     }
 
-    /// Has the handler answer, and tells it when the caller hangs up.
-    async fn handle(
+    /// Runs the handler, and fires its signal if the caller disconnects.
+    async fn run_handler(
         &self,
-        ask: IncomingRequest,
+        request: IncomingRequest,
         disconnect: &DisconnectSignal,
         id: Option<&RequestId>,
-    ) -> Result<Response, Stop> {
-        let answer = AssertUnwindSafe((self.shared.handler)(ask)).catch_unwind();
-        let watch = async { match self.wire.watch(disconnect).await {} };
+    ) -> Result<Response, ConnectionEnd> {
+        let answer = AssertUnwindSafe((self.shared.handler)(request)).catch_unwind();
+        let watch = async { match self.socket.watch_disconnect(disconnect).await {} };
         let response = or(answer, watch).await.unwrap_or_else(|_| {
-            // One request's fault must not end the connection without an answer.
+            // A panic must not end the connection without a response.
             log::error!("callers: the handler of request {id:?} panicked");
             let fault = "a fault in the router; its log names this request";
             Refused::new(Reason::Internal, fault).into()
         });
         if disconnect.has_fired() {
-            return Err(Stop::Closed);
+            return Err(ConnectionEnd::Closed);
         }
         Ok(response)
     }
 
-    /// Writes the answer. Returns whether the connection is kept.
+    /// Writes the response. Returns whether the connection stays open.
     async fn send(
         &self,
         response: Response,
         disconnect: &DisconnectSignal,
         method: Method,
         id: Option<RequestId>,
-        keep: bool,
-    ) -> Result<bool, Stop> {
-        let keep = keep && !self.stop.is_closed();
-        let whole = matches!(response.body, Body::Complete(_));
+        keep_alive: bool,
+    ) -> Result<bool, ConnectionEnd> {
+        let keep_alive = keep_alive && !self.stop.is_closed();
+        let complete = matches!(response.body, Body::Complete(_));
         let mut http = response.into_http(id.as_ref());
-        if !keep {
+        if !keep_alive {
             http.insert_header("connection", "close");
         }
-        let hung_up = async {
-            let watch = async { match self.wire.watch(disconnect).await {} };
+        let disconnected = async {
+            let watch = async { match self.socket.watch_disconnect(disconnect).await {} };
             or(disconnect.wait(), watch).await;
             Err(io::ErrorKind::ConnectionAborted.into())
         };
-        let copy = self.copy(Encoder::new(http, method), whole);
-        match or(copy, hung_up).await {
-            Ok(()) => Ok(keep),
+        let write = self.write_encoded(Encoder::new(http, method), complete);
+        match or(write, disconnected).await {
+            Ok(()) => Ok(keep_alive),
             Err(e) => {
-                log::debug!("callers: answer {id:?} to {} was cut: {e}", self.peer);
-                Err(Stop::Closed)
+                log::debug!("callers: response {id:?} to {} was aborted: {e}", self.peer);
+                Err(ConnectionEnd::Closed)
             }
         }
     }
 
-    async fn copy(&self, mut encoder: Encoder, whole: bool) -> io::Result<()> {
+    async fn write_encoded(&self, mut encoder: Encoder, complete: bool) -> io::Result<()> {
         let mut buf = vec![0; WRITE_BYTES];
         let mut len = 0;
         loop {
             let n = encoder.read(&mut buf[len..]).await?;
             len += n;
-            // A streamed chunk goes out at once, a whole answer in as few writes as it takes.
-            if n == 0 || !whole || len == buf.len() {
-                self.wire
+            // Streamed chunks are written at once, a complete body in as few writes as possible.
+            if n == 0 || !complete || len == buf.len() {
+                self.socket
                     .write(&buf[..len], self.shared.limits.stall_timeout)
                     .await?;
                 len = 0;
@@ -317,46 +326,46 @@
         }
     }
 
-    /// Tells the caller why, and closes.
+    /// Writes a rejection and closes the connection.
     async fn refuse(&self, refused: Refused) {
-        log::debug!("callers: refused {}: {refused}", self.peer);
+        log::debug!("callers: rejected {}: {refused}", self.peer);
         let disconnect = DisconnectSignal::new();
         let sent = self.send(refused.into(), &disconnect, Method::Get, None, false);
         if sent.await.is_ok() {
-            self.wire.linger().await;
+            self.socket.linger().await;
         }
     }
 }
 
-fn head_too_large(most: usize) -> Refused {
+fn head_too_large(max_bytes: usize) -> Refused {
     Refused::new(
         Reason::HeadTooLarge,
-        format!("the head is too long; send at most {most} bytes"),
+        format!("the head is too long; send at most {max_bytes} bytes"),
     )
 }
 
-fn disconnect_signal_of(ask: &IncomingRequest) -> DisconnectSignal {
-    match ask {
+fn disconnect_signal_of(request: &IncomingRequest) -> DisconnectSignal {
+    match request {
         IncomingRequest::Request { disconnect, .. } => disconnect.clone(),
         IncomingRequest::Addresses { .. } => DisconnectSignal::new(),
     }
 }
 
-/// Takes the time that reading took off the deadline.
-fn shorten(request: &mut Request, since: Instant) -> Result<(), Refused> {
+/// Subtracts the time since `started` from the deadline.
+fn subtract_elapsed(request: &mut Request, started: Instant) -> Result<(), Refused> {
     if let Some(deadline) = request.deadline {
-        let left = deadline.checked_sub(since.elapsed());
+        let left = deadline.checked_sub(started.elapsed());
         request.deadline = Some(left.filter(|d| !d.is_zero()).ok_or_else(parse::expired)?);
     }
     Ok(())
 }
 
-/// Returns whether the connection can be kept after this request.
-fn keeps(head: &Head) -> bool {
+/// Returns whether the connection can serve another request after this one.
+fn can_keep_alive(head: &Head) -> bool {
     let close = head
         .http
         .header("connection")
         .is_some_and(|v| v.as_str().to_ascii_lowercase().contains("close"));
-    // The library may have read beyond the last chunk, and drops what it read.
+    // The library may read beyond the last chunk, and discards what it has read.
     !close && head.framing != Framing::Chunked
 }
--- a/crates/callers/src/disconnect.rs
+++ b/crates/callers/src/disconnect.rs
@@ -1,4 +1,4 @@
-//! The signal that a caller hung up.
+//! The signal that a caller disconnected.
 
 use {
     async_std::channel::{
@@ -9,11 +9,11 @@
     std::sync::Arc, //
 };
 
-/// Tells a request's handler that nobody waits for the answer any more.
+/// Notifies the handler of a request that its caller has disconnected.
 ///
-/// It fires at most once: when the caller closed its side of the connection, the connection
-/// broke, or it was cut because the caller did not read. It does not fire when the request
-/// ends otherwise.
+/// It fires at most once: when the caller closes its side of the connection, the connection
+/// fails, or the router closes it because the caller does not read. It does not fire when the
+/// request ends otherwise.
 #[derive(Debug, Clone)]
 pub struct DisconnectSignal(Arc<Inner>);
 
@@ -24,24 +24,24 @@
 }
 
 impl DisconnectSignal {
-    /// Makes a signal that has not fired.
+    /// Creates a signal that has not fired.
     pub fn new() -> DisconnectSignal {
         let (sender, receiver) = bounded(1);
         DisconnectSignal(Arc::new(Inner { sender, receiver }))
     }
 
-    /// Waits until the caller hangs up.
+    /// Waits until the signal fires.
     pub async fn wait(&self) {
-        // Nothing is ever sent, so this ends only when the channel is closed.
+        // Nothing is ever sent, so this returns only when the channel is closed.
         let _ = self.0.receiver.recv().await;
     }
 
-    /// Returns whether the caller has hung up.
+    /// Returns whether the signal has fired.
     pub fn has_fired(&self) -> bool {
         self.0.sender.is_closed()
     }
 
-    /// Wakes all that wait. A test or another entry to the router may call it too.
+    /// Fires the signal and wakes all waiters. Tests and other entry points may call it too.
     pub fn fire(&self) {
         self.0.sender.close();
     }
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -1,10 +1,11 @@
-//! The callers' side: address answers, requests and their outcomes.
+//! The caller API: address lists, requests and their outcomes.
 //!
-//! [`Server`] takes requests over HTTP/1.1 and hands each to one closure; [`Client`] is the
-//! other end, for the program's own commands and for measurements. The interface itself is
-//! described in `docs/CALLERS.md`.
+//! [`Server`] accepts requests over HTTP/1.1 and passes each to a handler. [`Client`] is the
+//! client side, used by the program's commands and for measurements. The API is described in
+//! `docs/CALLERS.md`.
 
 mod addresses;
+mod caller_socket;
 mod client;
 mod connection;
 mod disconnect;
@@ -15,9 +16,8 @@
 mod request;
 mod response;
 mod server;
+mod socket_options;
 mod stream_body;
-mod tune;
-mod wire;
 
 pub use self::{
     addresses::{
--- a/crates/callers/src/limits.rs
+++ b/crates/callers/src/limits.rs
@@ -1,39 +1,39 @@
-//! What a caller may use of a router's memory and time.
+//! Limits on the memory and time that callers may use.
 
 use std::time::Duration;
 
-/// Bounds on callers. One caller at a bound has no effect on the others.
+/// Limits on callers. A caller that reaches a limit has no effect on others.
 #[derive(Debug, Clone)]
 pub struct Limits {
-    /// Longest head, in bytes; at most 8191, which is all that the HTTP library reads.
+    /// Maximum length of a head in bytes; at most 8191, the limit of the HTTP library.
     pub head_bytes: usize,
-    /// Most headers in a head; at most 128, for the same reason.
+    /// Maximum number of headers; at most 128, the limit of the HTTP library.
     pub head_count: usize,
-    /// Longest body, in bytes.
+    /// Maximum length of a body in bytes.
     pub body_bytes: usize,
-    /// Time from the first byte of a head to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub head_timeout: Duration,
-    /// Time from the end of the head to the end of the body.
+    /// Maximum time from the end of the head to the end of the body.
     pub body_timeout: Duration,
-    /// How long a kept connection may stay idle.
+    /// How long a connection may stay idle between requests.
     pub idle_timeout: Duration,
-    /// How long a caller may take to read the next few kilobytes of its answer.
+    /// How long a caller may take to read the next few kilobytes of its response.
     pub stall_timeout: Duration,
-    /// Most connections at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Most connections at once from one IP address.
+    /// Maximum number of open connections from one IP address.
     pub max_connections_per_ip: usize,
 }
 
-/// Longest head, and most headers, that the HTTP library reads.
-const HEAD_BYTES: usize = 8 * 1024 - 1;
-const HEAD_COUNT: usize = 128;
+/// Limits of the HTTP library on the length of a head and on the number of its headers.
+const LIBRARY_HEAD_BYTES: usize = 8 * 1024 - 1;
+const LIBRARY_HEAD_COUNT: usize = 128;
 
 impl Limits {
-    /// Lowers what is beyond the HTTP library, so that callers are told the true bounds.
-    pub(crate) fn within_library(mut self) -> Limits {
-        self.head_bytes = self.head_bytes.min(HEAD_BYTES);
-        self.head_count = self.head_count.min(HEAD_COUNT);
+    /// Clamps to the limits of the HTTP library, so that rejections report the effective limits.
+    pub(crate) fn clamp_to_library(mut self) -> Limits {
+        self.head_bytes = self.head_bytes.min(LIBRARY_HEAD_BYTES);
+        self.head_count = self.head_count.min(LIBRARY_HEAD_COUNT);
         self
     }
 }
@@ -41,7 +41,7 @@
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
-            head_bytes: HEAD_BYTES,
+            head_bytes: LIBRARY_HEAD_BYTES,
             head_count: 100,
             body_bytes: 4 * 1024 * 1024,
             head_timeout: Duration::from_secs(5),
--- a/crates/callers/src/parse.rs
+++ b/crates/callers/src/parse.rs
@@ -1,13 +1,13 @@
-//! From the HTTP library's request to ours, and every check on the way.
+//! Validates the HTTP library's requests and converts them.
 
 use {
     crate::{
         headers::{
-            passes,
+            is_forwarded,
             DEADLINE_MS,
-            OWN_PATHS,
             PROFILE,
             REQUEST_ID,
+            RESERVED_PATHS,
             SERVICE,
             TICKET,
             WHERE_PATH,
@@ -28,13 +28,13 @@
     },
 };
 
-/// What a head asks, before its body is read.
+/// A parsed head; the body has not been read yet.
 pub(crate) enum Parsed {
     Addresses(AddressListQuery),
     Request(Box<Request>),
 }
 
-/// How long the body is.
+/// The framing of the body.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Framing {
     Empty,
@@ -42,13 +42,13 @@
     Chunked,
 }
 
-/// Checks a whole head before the HTTP library sees it.
+/// Validates a complete head before it is passed to the HTTP library.
 ///
 /// # Errors
 ///
-/// A refusal where the head has too many lines or holds bytes that are not text.
+/// A rejection if the head has too many headers or contains bytes that are not printable ASCII.
 pub(crate) fn check_head(head: &[u8], limits: &Limits) -> Result<(), Refused> {
-    // The library panics at a header value that is not ASCII, so such a head must not reach it.
+    // The library panics at header values that are not ASCII.
     let text = |b: &u8| matches!(b, b' '..=b'~' | b'\t' | b'\r' | b'\n');
     if !head.iter().all(text) {
         return Err(Refused::new(
@@ -56,7 +56,7 @@
             "the head holds bytes that are not text; use printable ASCII in headers",
         ));
     }
-    // The request line and the empty line at the end are no headers.
+    // Excludes the request line, the empty line and the remainder after the last line end.
     let count = head.split(|b| *b == b'\n').count().saturating_sub(3);
     if count > limits.head_count {
         return Err(Refused::new(
@@ -70,11 +70,11 @@
     Ok(())
 }
 
-/// Finds out how long the body is.
+/// Determines the framing of the body.
 ///
 /// # Errors
 ///
-/// A refusal where the body is too long, or where its end could be read in two ways.
+/// A rejection if the body is too long or its framing is ambiguous.
 pub(crate) fn framing(http: &http_types::Request, limits: &Limits) -> Result<Framing, Refused> {
     let lengths = http.header("content-length");
     let coding = http.header("transfer-encoding");
@@ -101,14 +101,14 @@
                 _ => return Err(bad("`content-length` must be one whole number")),
             };
             if len > limits.body_bytes as u64 {
-                return Err(too_large(limits));
+                return Err(body_too_large(limits));
             }
             Ok(Framing::Fixed(len))
         }
     }
 }
 
-pub(crate) fn too_large(limits: &Limits) -> Refused {
+pub(crate) fn body_too_large(limits: &Limits) -> Refused {
     Refused::new(
         Reason::BodyTooLarge,
         format!(
@@ -118,17 +118,17 @@
     )
 }
 
-/// Reads what is asked from a head.
+/// Parses a head.
 ///
 /// # Errors
 ///
-/// A refusal that names the header which is missing or malformed.
+/// A rejection that names the missing or malformed header.
 pub(crate) fn parse(http: &http_types::Request, peer: SocketAddr) -> Result<Parsed, Refused> {
     let path = http.url().path();
     if path == WHERE_PATH {
         return where_query(http).map(Parsed::Addresses);
     }
-    if path.starts_with(OWN_PATHS) {
+    if path.starts_with(RESERVED_PATHS) {
         return Err(Refused::new(
             Reason::UnknownPath,
             format!("no such path; ask for addresses at `{WHERE_PATH}?service=NAME`"),
@@ -139,15 +139,15 @@
         None => RequestId::random(),
     };
     Ok(Parsed::Request(Box::new(Request {
-        service: needed(http, SERVICE)?,
-        workspace: needed(http, WORKSPACE)?,
-        profile: needed(http, PROFILE)?,
+        service: required(http, SERVICE)?,
+        workspace: required(http, WORKSPACE)?,
+        profile: required(http, PROFILE)?,
         deadline: deadline(http)?,
         ticket: optional(http, TICKET)?,
         id,
         method: http.method().to_string(),
         target: target(http),
-        headers: passed(http),
+        headers: forwarded_headers(http),
         body: Vec::new(),
         peer,
     })))
@@ -171,27 +171,27 @@
     }
 }
 
-fn passed(http: &http_types::Request) -> Vec<(String, String)> {
-    let dropped: Vec<String> = http
+fn forwarded_headers(http: &http_types::Request) -> Vec<(String, String)> {
+    let connection_options: Vec<String> = http
         .header("connection")
-        .map(|v| v.as_str().split(',').map(lower).collect())
+        .map(|v| v.as_str().split(',').map(to_trimmed_lowercase).collect())
         .unwrap_or_default();
     let mut headers = Vec::new();
     for (name, values) in http.iter() {
         let name = name.as_str();
-        if passes(name) && !dropped.iter().any(|d| d == name) {
+        if is_forwarded(name) && !connection_options.iter().any(|d| d == name) {
             headers.extend(values.iter().map(|v| (name.to_owned(), v.to_string())));
         }
     }
     headers
 }
 
-fn lower(s: &str) -> String {
+fn to_trimmed_lowercase(s: &str) -> String {
     s.trim().to_ascii_lowercase()
 }
 
 fn deadline(http: &http_types::Request) -> Result<Option<Duration>, Refused> {
-    let Some(text) = one(http, DEADLINE_MS)? else {
+    let Some(text) = single_value(http, DEADLINE_MS)? else {
         return Ok(None);
     };
     let ms: i64 = text.parse().map_err(|_| {
@@ -206,7 +206,7 @@
     }
 }
 
-/// The refusal of a request whose deadline passed before any endpoint saw it.
+/// Returns the rejection of a request whose deadline passed before it reached an endpoint.
 pub(crate) fn expired() -> Refused {
     Refused::new(
         Reason::Expired,
@@ -214,7 +214,7 @@
     )
 }
 
-fn needed<T: FromStr>(http: &http_types::Request, name: &str) -> Result<T, Refused>
+fn required<T: FromStr>(http: &http_types::Request, name: &str) -> Result<T, Refused>
 where
     T::Err: fmt::Display,
 {
@@ -230,7 +230,7 @@
 where
     T::Err: fmt::Display,
 {
-    let Some(text) = one(http, name)? else {
+    let Some(text) = single_value(http, name)? else {
         return Ok(None);
     };
     text.parse().map(Some).map_err(|e: T::Err| {
@@ -241,7 +241,7 @@
     })
 }
 
-fn one<'a>(http: &'a http_types::Request, name: &str) -> Result<Option<&'a str>, Refused> {
+fn single_value<'a>(http: &'a http_types::Request, name: &str) -> Result<Option<&'a str>, Refused> {
     match http.header(name) {
         None => Ok(None),
         Some(values) if values.iter().count() == 1 => Ok(Some(values.as_str().trim())),
--- a/crates/callers/src/refused.rs
+++ b/crates/callers/src/refused.rs
@@ -1,4 +1,4 @@
-//! Refusals: why a request got no answer from an endpoint, as status, headers and JSON.
+//! Rejections and errors of requests, as HTTP status, headers and JSON.
 
 use {
     policy::{
@@ -15,15 +15,15 @@
     },
 };
 
-/// Why a request was refused or could not be answered.
+/// The reason why a request was rejected or could not be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The bytes are no HTTP/1.1 request.
+    /// The received bytes are not an HTTP/1.1 request.
     BadRequest,
-    /// A header of ours is missing or malformed, or a header is not text.
+    /// A `chervilwind-` header is missing or malformed, or a header is not printable ASCII.
     BadHeader,
-    /// The deadline is no whole number of milliseconds.
+    /// The deadline is not an integer number of milliseconds.
     BadDeadline,
     /// No such path below `/chervilwind/`.
     UnknownPath,
@@ -33,30 +33,30 @@
     UnknownWorkspace,
     /// No such profile in the configuration.
     UnknownProfile,
-    /// The head did not come in time.
+    /// The head did not arrive in time.
     HeadTimeout,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTimeout,
     /// The head is too long or has too many headers.
     HeadTooLarge,
     /// The body is too long.
     BodyTooLarge,
-    /// The request may not be repeated and came without a ticket.
+    /// The request must not be repeated and has no ticket.
     TicketNeeded,
-    /// The ticket has expired, and no request that carried it ran or ever will.
+    /// The ticket has expired, and no request that carried it ran or will run.
     TicketExpired,
     /// A request with this ticket is running.
     TicketRunning,
-    /// A request with this ticket ended, and its answer is no longer kept. The outcome is that
-    /// of the ticket: of all tries that carried it.
+    /// A request with this ticket ended, and its answer is no longer stored. The outcome applies
+    /// to the ticket, that is to all attempts that carried it.
     TicketUsed,
-    /// The router that holds the ticket is gone or can't be reached.
+    /// The router that holds the ticket has left or can't be reached.
     TicketOrphaned,
-    /// The workspace has as many queued requests as it may.
+    /// The workspace has reached its limit on queued requests.
     QueueFull,
-    /// Too many connections, in all or from this address.
+    /// Too many connections in total or from this IP address.
     TooManyConnections,
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service accepts requests.
     NoEndpoint,
     /// This router is shutting down.
     Leaving,
@@ -64,37 +64,37 @@
     NotReady,
     /// The retry budget is spent.
     RetryBudget,
-    /// It can't be served within its deadline.
+    /// The request can't be served within its deadline.
     Late,
-    /// Its deadline passed before it was run.
+    /// The deadline passed before the request ran.
     Expired,
-    /// Its deadline passed while it ran.
+    /// The deadline passed while the request ran.
     TimedOut,
-    /// The endpoint's answer was lost or was cut.
+    /// The endpoint's answer was lost or aborted.
     AnswerLost,
-    /// The endpoint answered that it failed.
+    /// The endpoint reported a failure.
     EndpointFailed,
-    /// A fault in the router.
+    /// An internal error of the router.
     Internal,
 }
 
-/// A request that got no endpoint's answer: what the caller is told.
+/// The response to a request that has no answer from an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// What is known of the request.
+    /// Whether the request ran, as far as is known.
     pub outcome: Outcome,
-    /// The cause, for programs.
+    /// The machine-readable reason.
     #[serde(rename = "why")]
     pub reason: Reason,
-    /// The cause and its remedy, for people.
+    /// The reason and its remedy in text.
     pub message: String,
-    /// Milliseconds after which it may be sent again, where that makes sense.
+    /// Milliseconds after which a retry makes sense, if any.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_ms: Option<u64>,
 }
 
 impl Refused {
-    /// Makes a refusal with the outcome that `reason` usually has.
+    /// Creates a rejection with the outcome that `reason` usually has.
     ///
     /// # Examples
     ///
@@ -114,19 +114,19 @@
         }
     }
 
-    /// Says when the caller may come back.
+    /// Sets the delay after which the caller may retry.
     pub fn retry_after(mut self, after: Duration) -> Refused {
         self.retry_ms = Some(after.as_millis() as u64);
         self
     }
 
-    /// Says another outcome than the usual one.
+    /// Overrides the default outcome of the reason.
     pub fn outcome(mut self, outcome: Outcome) -> Refused {
         self.outcome = outcome;
         self
     }
 
-    /// Makes the refusal that a decision of the policy stands for.
+    /// Converts a rejection by the policy.
     pub fn from_policy(refusal: Refusal) -> Refused {
         let (reason, message) = match refusal {
             Refusal::QueueFull => (
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Returns the outcome, unless the one who refuses knows better.
+    /// Returns the default outcome.
     pub fn outcome(self) -> Outcome {
         match self {
             Reason::TicketRunning
--- a/crates/callers/src/request.rs
+++ b/crates/callers/src/request.rs
@@ -1,4 +1,4 @@
-//! What a caller asks.
+//! Requests from callers.
 
 use {
     crate::{
@@ -20,21 +20,21 @@
     },
 };
 
-/// A question to a router.
+/// A request to a router.
 #[derive(Debug)]
 pub enum IncomingRequest {
-    /// Which address to use.
+    /// A request for the address list of a service.
     Addresses {
-        /// What was asked.
+        /// The parsed query.
         query: AddressListQuery,
-        /// Who asks.
+        /// The address of the caller.
         peer: SocketAddr,
     },
     /// A request for an endpoint of a service.
     Request {
         /// The request.
         request: Box<Request>,
-        /// Fires when the caller hangs up.
+        /// Fires when the caller disconnects.
         disconnect: DisconnectSignal,
     },
 }
@@ -42,41 +42,41 @@
 /// A request for an endpoint of a service.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// The service asked for.
+    /// The requested service.
     pub service: ServiceId,
-    /// The workspace that asks.
+    /// The workspace that sends the request.
     pub workspace: WorkspaceId,
-    /// How the request is treated.
+    /// The profile that applies to the request.
     pub profile: ProfileName,
-    /// Time left until the answer is of no use; never zero.
+    /// Time left until the deadline; never zero.
     pub deadline: Option<Duration>,
     /// The ticket, as the caller sent it.
     pub ticket: Option<String>,
-    /// The name in logs. Callers choose it, so it need not be unique.
+    /// The request ID. Callers may choose it, so it is not always unique.
     pub id: RequestId,
-    /// The HTTP method, in capitals.
+    /// The HTTP method in upper case.
     pub method: String,
-    /// Path and query, beginning with `/`.
+    /// Path and query, starting with `/`.
     pub target: String,
-    /// Headers to pass on, names in lower case.
+    /// Headers to forward, names in lower case.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Vec<u8>,
-    /// Who asks.
+    /// The address of the caller.
     pub peer: SocketAddr,
 }
 
-/// The name of a request in logs and in the answer.
+/// The ID of a request in logs and in the response.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct RequestId(Arc<str>);
 
 impl RequestId {
-    /// Makes a new name that is unlikely to be in use.
+    /// Creates a random ID.
     pub fn random() -> RequestId {
         RequestId(format!("{:016x}", fastrand::u64(..)).into())
     }
 
-    /// Returns the name as text.
+    /// Returns the ID as text.
     pub fn as_str(&self) -> &str {
         &self.0
     }
@@ -92,7 +92,7 @@
     type Err = IdError;
 
     fn from_str(s: &str) -> Result<RequestId, IdError> {
-        // A name of a service follows the same rules.
+        // Service names follow the same rules.
         s.parse::<ServiceId>()?;
         Ok(RequestId(s.into()))
     }
--- a/crates/callers/src/response.rs
+++ b/crates/callers/src/response.rs
@@ -1,9 +1,9 @@
-//! What a router answers.
+//! Responses to callers.
 
 use {
     crate::{
         headers::{
-            passes,
+            is_forwarded,
             AT_END,
             OUTCOME,
             REQUEST_ID,
@@ -28,44 +28,44 @@
     std::time::Duration, //
 };
 
-/// An answer to a caller.
+/// A response to a caller.
 #[derive(Debug)]
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
-    /// How the request ended. A streamed answer's end tells it instead: give none there.
+    /// How the request ended. `None` for a streamed response, whose end determines the outcome.
     pub outcome: Option<Outcome>,
-    /// When a refused request may be sent again.
+    /// Delay after which a rejected request may be retried.
     pub retry: Option<Duration>,
-    /// Headers besides the router's own. Those of one connection, such as `connection`, and
-    /// names beginning with `chervilwind-` are left out.
+    /// Additional headers. Hop-by-hop headers such as `connection` and names that start with
+    /// `chervilwind-` are not sent.
     pub headers: Vec<(String, String)>,
     /// The body.
     pub body: Body,
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// The whole body.
+    /// The complete body.
     Complete(Vec<u8>),
-    /// The body as it comes. Give the channel a small bound: it is all that is buffered.
+    /// A streamed body. The capacity of the channel bounds the buffer, so it should be small.
     Stream(Receiver<Piece>),
 }
 
 /// One piece of a streamed body.
 #[derive(Debug)]
 pub enum Piece {
-    /// The next bytes, passed on at once as one chunk.
+    /// The next bytes, sent at once as one chunk.
     Data(Vec<u8>),
-    /// The body is whole. A channel that closes without it counts as cut.
+    /// The body is complete. If the channel closes without it, the body counts as aborted.
     End,
-    /// The body is cut here. The caller sees the connection end without the last chunk.
+    /// The body is aborted. The connection is closed without sending the last chunk.
     Fail(Refused),
 }
 
 impl Response {
-    /// Makes an answer with a whole body.
+    /// Creates a response with a complete body.
     pub fn complete(status: u16, outcome: Outcome, body: Vec<u8>) -> Response {
         Response {
             status,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Makes an answer whose body follows in pieces.
+    /// Creates a response with a streamed body.
     pub fn stream(status: u16, pieces: Receiver<Piece>) -> Response {
         Response {
             status,
@@ -94,7 +94,7 @@
     }
 
     fn json(status: u16, value: &impl Serialize) -> Response {
-        // These types hold nothing that JSON can't.
+        // These types contain only values that JSON can represent.
         let body = serde_json::to_vec(value).unwrap_or_default();
         Response {
             status,
@@ -105,36 +105,36 @@
         }
     }
 
-    /// Turns the answer into the HTTP library's form.
+    /// Converts the response to the HTTP library's type.
     pub(crate) fn into_http(self, id: Option<&RequestId>) -> http_types::Response {
-        let mut http = http_types::Response::new(known_status(self.status));
-        let events = self
+        let mut http = http_types::Response::new(supported_status(self.status));
+        let is_event_stream = self
             .headers
             .iter()
             .any(|(n, v)| n == "content-type" && v.starts_with("text/event-stream"));
         http.set_body(match self.body {
             Body::Complete(bytes) => http_types::Body::from_bytes(bytes),
-            Body::Stream(pieces) => StreamBody::new(pieces, events).into_http(),
+            Body::Stream(pieces) => StreamBody::new(pieces, is_event_stream).into_http(),
         });
         let streamed = http.len().is_none();
         http.remove_header("content-type");
         for (name, value) in self.headers {
-            if passes(&name) {
-                append(&mut http, &name, value);
+            if is_forwarded(&name) {
+                append_header(&mut http, &name, value);
             }
         }
         match self.outcome {
-            _ if streamed => append(&mut http, OUTCOME, AT_END.to_owned()),
-            Some(outcome) => append(&mut http, OUTCOME, outcome.to_string()),
+            _ if streamed => append_header(&mut http, OUTCOME, AT_END.to_owned()),
+            Some(outcome) => append_header(&mut http, OUTCOME, outcome.to_string()),
             None => {}
         }
         if let Some(retry) = self.retry {
             let ms = retry.as_millis() as u64;
-            append(&mut http, RETRY_AFTER, ms.div_ceil(1_000).to_string());
-            append(&mut http, RETRY_MS, ms.to_string());
+            append_header(&mut http, RETRY_AFTER, ms.div_ceil(1_000).to_string());
+            append_header(&mut http, RETRY_MS, ms.to_string());
         }
         if let Some(id) = id {
-            append(&mut http, REQUEST_ID, id.to_string());
+            append_header(&mut http, REQUEST_ID, id.to_string());
         }
         http
     }
@@ -155,24 +155,24 @@
     }
 }
 
-/// Returns the status, or the plain one of its class where the HTTP library knows no such code.
-fn known_status(status: u16) -> StatusCode {
+/// Returns the status, or the x00 code of its class if the HTTP library does not support it.
+fn supported_status(status: u16) -> StatusCode {
     StatusCode::try_from(status)
         .or_else(|_| StatusCode::try_from(status / 100 * 100))
         .unwrap_or(StatusCode::BadGateway)
 }
 
-/// Adds a header, or leaves it out where it can't be written.
-fn append(http: &mut http_types::Response, name: &str, value: String) {
-    // An endpoint's header may hold a line break or bytes that are not ASCII. The library
-    // would panic at the one and write the other, which would split the answer in two.
-    let clean = !value.contains(['\r', '\n', '\0']) && !name.contains(['\r', '\n', ' ', ':']);
+/// Appends a header, or drops it if it can't be encoded.
+fn append_header(http: &mut http_types::Response, name: &str, value: String) {
+    // An endpoint's header may contain line breaks or bytes that are not ASCII. The library
+    // panics at one and writes the other unchecked, which would allow response splitting.
+    let is_valid = !value.contains(['\r', '\n', '\0']) && !name.contains(['\r', '\n', ' ', ':']);
     let pair = (
         HeaderName::from_bytes(name.as_bytes().to_vec()),
         HeaderValue::from_bytes(value.into_bytes()),
     );
     match pair {
-        (Ok(name), Ok(value)) if clean => http.append_header(name, value),
-        _ => log::debug!("callers: header `{name}` of an answer can't be written, left out"),
+        (Ok(name), Ok(value)) if is_valid => http.append_header(name, value),
+        _ => log::debug!("callers: header `{name}` of a response can't be encoded, dropped"),
     }
 }
--- a/crates/callers/src/server.rs
+++ b/crates/callers/src/server.rs
@@ -1,10 +1,10 @@
-//! The HTTP server towards callers, with an end that cuts no request.
+//! The HTTP server for callers, with a graceful shutdown.
 
 use {
     crate::{
+        caller_socket::CallerSocket,
         connection::Connection,
-        tune::tune,
-        wire::Wire,
+        socket_options::set_socket_options,
         IncomingRequest,
         Limits,
         Reason, //
@@ -51,19 +51,19 @@
     },
 };
 
-/// Pause after an accept that failed, for instance for want of file descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay after a failed accept, for example when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Most connections that the kernel holds ready to be accepted.
+/// Upper bound on connections that wait in the kernel's accept queue.
 const BACKLOG: usize = 1024;
-/// Most connections that are told at once that there are too many.
-const AWAY_MAX: usize = 64;
-/// When those may come back.
-const AWAY_RETRY: Duration = Duration::from_secs(1);
+/// Limit on connections that are being sent a rejection at the same time.
+const MAX_REJECTING: usize = 64;
+/// Retry delay that a rejected connection is sent.
+const REJECTION_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-type Answer = Pin<Box<dyn Future<Output = Response> + Send>>;
+type ResponseFuture = Pin<Box<dyn Future<Output = Response> + Send>>;
 
-/// The server towards callers.
+/// The HTTP server for callers.
 ///
 /// It serves any number of listeners and is cheap to clone.
 #[derive(Clone)]
@@ -71,63 +71,63 @@
     shared: Arc<Shared>,
     stop: Sender<()>,
     stopped: Receiver<()>,
-    /// Each connection holds a sender, so the receiver ends with the last of them.
-    live: Arc<Mutex<Option<Sender<()>>>>,
-    ended: Receiver<()>,
+    /// Each connection holds a clone of the sender, so `all_closed` ends with the last connection.
+    guard: Arc<Mutex<Option<Sender<()>>>>,
+    all_closed: Receiver<()>,
 }
 
-/// What all connections share.
+/// State shared by all connections.
 pub(crate) struct Shared {
     pub(crate) limits: Limits,
-    pub(crate) handler: Box<dyn Fn(IncomingRequest) -> Answer + Send + Sync>,
-    open: Mutex<Open>,
-    /// Connections that are being turned away.
-    away: AtomicUsize,
+    pub(crate) handler: Box<dyn Fn(IncomingRequest) -> ResponseFuture + Send + Sync>,
+    open: Mutex<OpenConnections>,
+    /// Number of connections that are being sent a rejection.
+    rejecting: AtomicUsize,
 }
 
 #[derive(Default)]
-struct Open {
-    all: usize,
-    peers: HashMap<IpAddr, usize>,
+struct OpenConnections {
+    total: usize,
+    per_ip: HashMap<IpAddr, usize>,
 }
 
-/// A connection's place among those counted, given back when dropped.
-struct Place {
+/// Counts one connection against the limits until dropped.
+struct ConnectionPermit {
     shared: Arc<Shared>,
     ip: IpAddr,
-    _live: Sender<()>,
+    _guard: Sender<()>,
 }
 
 impl Server {
-    /// Makes a server that has `handler` answer.
+    /// Creates a server that passes each request to `handler`.
     ///
-    /// The handler's future is never dropped before it ends, also where the caller hung up:
-    /// it is told by [`DisconnectSignal`](crate::DisconnectSignal) and should then end soon.
+    /// The handler's future is never dropped before it completes, even if the caller
+    /// disconnects: [`DisconnectSignal`](crate::DisconnectSignal) fires, and the handler should
+    /// then return soon.
     pub fn new<F, R>(limits: Limits, handler: F) -> Server
     where
         F: Fn(IncomingRequest) -> R + Send + Sync + 'static,
         R: Future<Output = Response> + Send + 'static,
     {
         let (stop, stopped) = bounded(1);
-        let (live, ended) = bounded(1);
+        let (guard, all_closed) = bounded(1);
         Server {
             shared: Arc::new(Shared {
-                limits: limits.within_library(),
-                handler: Box::new(move |ask| Box::pin(handler(ask))),
+                limits: limits.clamp_to_library(),
+                handler: Box::new(move |request| Box::pin(handler(request))),
                 open: Mutex::default(),
-                away: AtomicUsize::new(0),
+                rejecting: AtomicUsize::new(0),
             }),
             stop,
             stopped,
-            live: Arc::new(Mutex::new(Some(live))),
-            ended,
+            guard: Arc::new(Mutex::new(Some(guard))),
+            all_closed,
         }
     }
 
-    /// Accepts connections until [`stop`](Server::stop). An accept that fails is logged and
-    /// tried again.
+    /// Accepts connections until [`stop`](Server::stop). A failed accept is logged and retried.
     pub async fn serve(&self, listener: TcpListener) {
-        let Some(live) = lock(&self.live).clone() else {
+        let Some(guard) = lock(&self.guard).clone() else {
             return;
         };
         loop {
@@ -136,106 +136,106 @@
                 Err(io::ErrorKind::Interrupted.into())
             };
             match or(stopped, listener.accept()).await {
-                Ok((socket, peer)) => self.start(socket, peer, &live),
+                Ok((socket, peer)) => self.start_connection(socket, peer, &guard),
                 Err(_) if self.stopped.is_closed() => break,
                 Err(e) => {
-                    log::warn!("callers: accept failed, trying again: {e}");
-                    task::sleep(ACCEPT_PAUSE).await;
+                    log::warn!("callers: accept failed, retrying: {e}");
+                    task::sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
         }
-        // The kernel has already connected the callers in its queue; dropping the listener
-        // would reset them in the middle of a request.
+        // The kernel has already completed the handshakes of queued connections; dropping the
+        // listener would reset them, possibly during a request.
         for _ in 0..BACKLOG {
             match poll_once(listener.accept()).await {
-                Some(Ok((socket, peer))) => self.start(socket, peer, &live),
+                Some(Ok((socket, peer))) => self.start_connection(socket, peer, &guard),
                 _ => break,
             }
         }
     }
 
-    /// Stops accepting, closes idle connections and waits until the running requests ended.
+    /// Stops accepting, closes idle connections and waits until the running requests complete.
     pub async fn stop(&self) {
         self.stop.close();
-        lock(&self.live).take();
-        let _ = self.ended.recv().await;
+        lock(&self.guard).take();
+        let _ = self.all_closed.recv().await;
     }
 
-    /// Returns how many connections are open.
+    /// Returns the number of open connections.
     pub fn connections(&self) -> usize {
-        lock(&self.shared.open).all
+        lock(&self.shared.open).total
     }
 
-    fn start(&self, socket: TcpStream, peer: SocketAddr, live: &Sender<()>) {
-        if let Err(e) = tune(&socket) {
-            log::debug!("callers: connection from {peer} broke at once: {e}");
+    fn start_connection(&self, socket: TcpStream, peer: SocketAddr, guard: &Sender<()>) {
+        if let Err(e) = set_socket_options(&socket) {
+            log::debug!("callers: cannot set socket options for {peer}: {e}");
             return;
         }
-        let Some(place) = self.place(peer.ip(), live) else {
-            return self.turn_away(socket, peer);
+        let Some(permit) = self.admit(peer.ip(), guard) else {
+            return self.reject(socket, peer);
         };
         let connection = Connection {
             shared: self.shared.clone(),
-            wire: Wire::new(socket),
+            socket: CallerSocket::new(socket),
             peer,
             stop: self.stopped.clone(),
         };
         task::spawn(async move {
             connection.run().await;
-            drop(place);
+            drop(permit);
         });
     }
 
-    /// Tells a caller that there are too many connections, and closes.
-    fn turn_away(&self, socket: TcpStream, peer: SocketAddr) {
+    /// Rejects a connection because there are too many.
+    fn reject(&self, socket: TcpStream, peer: SocketAddr) {
         metrics::counter!("chervilwind_callers_turned_away").increment(1);
         let shared = self.shared.clone();
-        // A flood of connections is dropped without a word, so that it costs nothing more.
-        if shared.away.fetch_add(1, Ordering::Relaxed) >= AWAY_MAX {
-            shared.away.fetch_sub(1, Ordering::Relaxed);
+        // Beyond the limit, connections are closed without a response to bound the cost.
+        if shared.rejecting.fetch_add(1, Ordering::Relaxed) >= MAX_REJECTING {
+            shared.rejecting.fetch_sub(1, Ordering::Relaxed);
             return;
         }
-        log::debug!("callers: too many connections, turned {peer} away");
+        log::debug!("callers: too many connections, rejected {peer}");
         task::spawn(async move {
             let refused = Refused::new(
                 Reason::TooManyConnections,
                 "too many connections; reuse those you have, or use another address",
             )
-            .retry_after(AWAY_RETRY);
-            Wire::new(socket).turn_away(refused.into()).await;
-            shared.away.fetch_sub(1, Ordering::Relaxed);
+            .retry_after(REJECTION_RETRY_AFTER);
+            CallerSocket::new(socket).reject(refused.into()).await;
+            shared.rejecting.fetch_sub(1, Ordering::Relaxed);
         });
     }
 
-    fn place(&self, ip: IpAddr, live: &Sender<()>) -> Option<Place> {
+    fn admit(&self, ip: IpAddr, guard: &Sender<()>) -> Option<ConnectionPermit> {
         let limits = &self.shared.limits;
         let mut open = lock(&self.shared.open);
-        let peer = open.peers.get(&ip).copied().unwrap_or(0);
-        if open.all >= limits.max_connections || peer >= limits.max_connections_per_ip {
+        let from_ip = open.per_ip.get(&ip).copied().unwrap_or(0);
+        if open.total >= limits.max_connections || from_ip >= limits.max_connections_per_ip {
             return None;
         }
-        open.all += 1;
-        *open.peers.entry(ip).or_default() += 1;
-        metrics::gauge!("chervilwind_callers_connections").set(open.all as f64);
-        Some(Place {
+        open.total += 1;
+        *open.per_ip.entry(ip).or_default() += 1;
+        metrics::gauge!("chervilwind_callers_connections").set(open.total as f64);
+        Some(ConnectionPermit {
             shared: self.shared.clone(),
             ip,
-            _live: live.clone(),
+            _guard: guard.clone(),
         })
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         let mut open = lock(&self.shared.open);
-        open.all -= 1;
-        if let Some(n) = open.peers.get_mut(&self.ip) {
+        open.total -= 1;
+        if let Some(n) = open.per_ip.get_mut(&self.ip) {
             *n -= 1;
             if *n == 0 {
-                open.peers.remove(&self.ip);
+                open.per_ip.remove(&self.ip);
             }
         }
-        metrics::gauge!("chervilwind_callers_connections").set(open.all as f64);
+        metrics::gauge!("chervilwind_callers_connections").set(open.total as f64);
     }
 }
 
--- a/crates/callers/src/stream_body.rs
+++ b/crates/callers/src/stream_body.rs
@@ -1,4 +1,4 @@
-//! A streamed body, as the HTTP library reads it.
+//! The reader through which the HTTP library reads a streamed body.
 
 use {
     crate::{
@@ -25,7 +25,7 @@
     },
 };
 
-/// Reads pieces from a channel, one chunk for each.
+/// Reads pieces from a channel and returns each as one chunk.
 #[derive(Debug)]
 pub(crate) struct StreamBody {
     pieces: Receiver<Piece>,
@@ -33,9 +33,9 @@
     pos: usize,
     state: State,
     /// The body is a stream of server-sent events.
-    events: bool,
-    /// Line breaks at the end of what was passed on, 2 between events.
-    breaks: u8,
+    is_event_stream: bool,
+    /// Newlines at the end of the data so far, at most 2; 2 means between events.
+    trailing_newlines: u8,
 }
 
 #[derive(Debug)]
@@ -46,14 +46,14 @@
 }
 
 impl StreamBody {
-    pub(crate) fn new(pieces: Receiver<Piece>, events: bool) -> StreamBody {
+    pub(crate) fn new(pieces: Receiver<Piece>, is_event_stream: bool) -> StreamBody {
         StreamBody {
             pieces,
             chunk: Vec::new(),
             pos: 0,
             state: State::Open,
-            events,
-            breaks: 2,
+            is_event_stream,
+            trailing_newlines: 2,
         }
     }
 
@@ -61,17 +61,17 @@
         http_types::Body::from_reader(self, None)
     }
 
-    fn take(&mut self, piece: Option<Piece>) {
+    fn apply(&mut self, piece: Option<Piece>) {
         match piece {
             Some(Piece::Data(bytes)) => {
-                self.count_breaks(&bytes);
+                self.count_trailing_newlines(&bytes);
                 self.chunk = bytes;
                 self.pos = 0;
             }
             Some(Piece::End) => self.state = State::Ended,
             Some(Piece::Fail(refused)) => self.fail(&refused),
-            // The handler's task died, or forgot the end. Taking this for the end would show a
-            // cut answer as whole, so only `End` ends a body.
+            // The handler's task panicked or did not send `End`. Ending the body normally would
+            // present a truncated answer as complete, so only `End` ends a body.
             None => self.fail(&Refused::new(
                 Reason::AnswerLost,
                 "the answer was cut; ask again if the request may be repeated",
@@ -81,20 +81,20 @@
 
     fn fail(&mut self, refused: &Refused) {
         self.state = State::Failing;
-        // In the middle of an event the error would read as a part of it: cut without a word.
-        if self.events && self.breaks == 2 {
+        // Within an event the error would be parsed as a part of it, so none is sent there.
+        if self.is_event_stream && self.trailing_newlines == 2 {
             let json = serde_json::to_string(refused).unwrap_or_default();
             self.chunk = format!("event: error\ndata: {json}\n\n").into_bytes();
             self.pos = 0;
         }
     }
 
-    fn count_breaks(&mut self, bytes: &[u8]) {
+    fn count_trailing_newlines(&mut self, bytes: &[u8]) {
         for b in bytes {
             match b {
-                b'\n' => self.breaks = 2.min(self.breaks + 1),
+                b'\n' => self.trailing_newlines = 2.min(self.trailing_newlines + 1),
                 b'\r' => {}
-                _ => self.breaks = 0,
+                _ => self.trailing_newlines = 0,
             }
         }
     }
@@ -107,10 +107,10 @@
             match this.state {
                 State::Open => {
                     let piece = ready!(Pin::new(&mut this.pieces).poll_next(cx));
-                    this.take(piece);
+                    this.apply(piece);
                 }
                 State::Failing => {
-                    return Poll::Ready(Err(io::Error::other("the answer was cut")));
+                    return Poll::Ready(Err(io::Error::other("the streamed body was aborted")));
                 }
                 State::Ended => return Poll::Ready(Ok(&[])),
             }
