--- a/crates/policy/src/quota/mod.rs
+++ b/crates/policy/src/quota/mod.rs
@@ -1,12 +1,12 @@
 //! Fair shares of the fleet's capacity, in tokens, over a sliding window.
 
-mod level;
+mod max_min;
 mod table;
 mod tally;
 mod window;
 
 pub use self::{
-    level::max_min_share,
+    max_min::max_min_share,
     table::{
         Quota,
         UsageCounts,
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -1,12 +1,12 @@
-//! What each workspace asked for and was given, over the fleet.
+//! Requested and served tokens of each workspace, over the whole fleet.
 
 use {
     super::{
         max_min_share,
         window::{
-            Lately,
+            RecentDemand,
             Window,
-            LATELY, //
+            RECENT_SPAN, //
         },
     },
     crate::{
@@ -24,38 +24,39 @@
     xxhash_rust::xxh3::xxh3_64, //
 };
 
-/// A peer's word counts for this long at least, and until so many words have been missed; after
-/// that its share of the window is unknown. One in some hundred is lost.
-const HEARD: Validity = Validity::new(Span::secs(2), 2.3);
-/// The level is worked out again after this time.
-const FRESH: Span = Span::millis(50);
+/// How long the usage report of a peer is valid: this long at least, and until this many reports in
+/// a row have been missed. After that the peer's part of the window is unknown. About one message
+/// in a few hundred is lost.
+const REPORT_VALIDITY: Validity = Validity::new(Span::secs(2), 2.3);
+/// Interval at which the fair shares are recomputed.
+const REFRESH_INTERVAL: Span = Span::millis(50);
 
-/// A short name of a workspace for messages between routers.
+/// A 32-bit hash that identifies a workspace in messages between routers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct WorkspaceKey(pub u32);
 
-/// Standard deviations of a count of requests by which it must have grown to be taken for more
-/// than chance.
-const CHANCE: f64 = 2.0;
-/// Requests for which the even spread over all routers counts, against what was told.
-const PRIOR: f64 = 2.0;
+/// Standard deviations that a request count must grow by to count as real growth.
+const GROWTH_DEVIATIONS: f64 = 2.0;
+/// Weight, in requests, of the assumption that all routers receive equal parts, against the
+/// reported counts.
+const PRIOR_REQUESTS: f64 = 2.0;
 
-/// Tokens over the window.
+/// Tokens of a workspace over the window.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct UsageCounts {
-    /// That were asked for.
+    /// Requested.
     #[serde(rename = "asked")]
     pub requested: f32,
-    /// Of which were begun.
+    /// Served: tokens of requests that were started.
     #[serde(rename = "given")]
     pub served: f32,
-    /// That were asked for in the last second.
+    /// Requested in the last second.
     #[serde(rename = "lately")]
     pub recent: f32,
 }
 
-/// The shares of workspaces in the fleet's capacity.
+/// The usage of workspaces against their shares of the fleet's capacity.
 ///
 /// # Examples
 ///
@@ -73,54 +74,55 @@
 /// ```
 #[derive(Debug)]
 pub struct Quota {
-    /// What was asked of this router.
-    own: Window,
-    /// Tokens a second that all may have together.
+    /// Requests at this router.
+    local: Window,
+    /// Tokens per second that all workspaces may get together.
     capacity: f64,
-    /// What each workspace had asked for in the last second when this router last told its peers.
-    reported: HashMap<WorkspaceKey, Lately>,
-    peers: HashMap<RouterId, Told>,
-    /// The sum of all other routers' counts, as an active router last sent it to this standby.
-    summary: Option<Told>,
-    levels: Option<(Time, Levels)>,
-    heard: Validity,
+    /// Recent demand of each workspace as of this router's last report to its peers.
+    reported: HashMap<WorkspaceKey, RecentDemand>,
+    peers: HashMap<RouterId, UsageReport>,
+    /// The summed counts of all other routers, as an active router last sent them to this standby.
+    summary: Option<UsageReport>,
+    fair_shares: Option<(Time, FairShares)>,
+    validity: Validity,
 }
 
-/// Counts that a peer sent, and when they came.
+/// Counts that a peer sent, and when they arrived.
 #[derive(Debug)]
-struct Told {
+struct UsageReport {
     at: Time,
     counts: HashMap<WorkspaceKey, UsageCounts>,
 }
 
-/// The most that a workspace may have over the window, in tokens.
+/// The largest amount that one workspace may get, in tokens.
 #[derive(Debug, Clone, Copy)]
-struct Levels {
-    /// Of the capacity that the configuration states, over the window.
-    stated: f64,
-    /// Of what was given to all, in a second.
-    actual: f64,
+struct FairShares {
+    /// Of the configured capacity, over the window.
+    configured: f64,
+    /// Of what was actually served to all workspaces, per second.
+    max_min: f64,
 }
 
-/// Where a request stands among those of its workspace, against the parts that are fair.
+/// A request's position within the usage of its workspace, measured against the fair shares.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct UsageStanding {
-    /// What the workspace was given, as a multiple of its fair share of the stated capacity;
-    /// 0 where none is known.
+    /// Tokens served to the workspace as a multiple of its fair share of the configured capacity; 0
+    /// if the capacity is unknown.
     pub share: f64,
-    /// Where the request stands among all that the workspace asked for in the last second, as
-    /// a multiple of an even part of all that was given: up to 1 for as many as make up that
-    /// part. Engines give more than is stated where little has to be read anew; of the rest
-    /// nobody is to have more than another who wants more. 0 where all can be given.
+    /// Position of the request within the recent demand of its workspace, as a multiple of the
+    /// max-min share of what was actually served: up to 1 for the requests that fit into that
+    /// share, and 0 if all demand can be met. Engines serve more than the configured capacity where
+    /// they find much in their caches, and no workspace gets more of the excess than another that
+    /// wants more.
     pub max_min_ratio: f64,
-    /// What the workspace asked for in the last second, over the fleet, in tokens.
+    /// Tokens that the workspace requested in the last second, over the whole fleet.
     pub demand: f64,
-    /// The even part in a second, in tokens; 0 where none is known.
+    /// The max-min share in tokens per second; 0 if the capacity is unknown.
     pub max_min_share: f64,
 }
 
 impl WorkspaceKey {
-    /// Returns the short name of a workspace.
+    /// Returns the key of a workspace.
     pub fn of(id: &WorkspaceId) -> WorkspaceKey {
         WorkspaceKey(xxh3_64(id.as_str().as_bytes()) as u32)
     }
@@ -141,16 +143,16 @@
         }
     }
 
-    fn take(&mut self, other: UsageCounts) {
+    fn subtract(&mut self, other: UsageCounts) {
         self.requested = (self.requested - other.requested).max(0.0);
         self.served = (self.served - other.served).max(0.0);
         self.recent = (self.recent - other.recent).max(0.0);
     }
 }
 
-impl Told {
-    fn new(counts: &[(WorkspaceKey, UsageCounts)], now: Time) -> Told {
-        Told {
+impl UsageReport {
+    fn new(counts: &[(WorkspaceKey, UsageCounts)], now: Time) -> UsageReport {
+        UsageReport {
             at: now,
             counts: counts.iter().copied().collect(),
         }
@@ -158,209 +160,218 @@
 }
 
 impl Quota {
-    /// Makes a table with no capacity known, where nobody is above their share.
+    /// Creates a table without a known capacity, where no workspace exceeds its share.
     pub fn new(window: Span) -> Quota {
         Quota {
-            own: Window::new(window),
+            local: Window::new(window),
             capacity: 0.0,
             reported: HashMap::new(),
             peers: HashMap::new(),
             summary: None,
-            levels: None,
-            heard: HEARD,
+            fair_shares: None,
+            validity: REPORT_VALIDITY,
         }
     }
 
-    /// Sets how often peers tell their counts, which is more seldom in a large fleet.
-    pub fn set_report_interval(&mut self, every: Span) {
-        self.heard.set_report_interval(every);
+    /// Sets how often peers report, which is less often in a large fleet.
+    pub fn set_report_interval(&mut self, interval: Span) {
+        self.validity.set_report_interval(interval);
     }
 
-    /// Sets what all may have together, in tokens a second; 0 where it is not known.
+    /// Sets the total capacity in tokens per second; 0 if it is unknown.
     pub fn set_capacity(&mut self, capacity: f64) {
         self.capacity = capacity;
-        self.levels = None;
+        self.fair_shares = None;
     }
 
-    /// Counts what a workspace asks for.
+    /// Counts the tokens that a workspace requests.
     pub fn record_requested(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
-        self.own.record_requested(workspace, tokens, now);
+        self.local.record_requested(workspace, tokens, now);
     }
 
-    /// Counts what a workspace was given, when its request begins.
+    /// Counts the tokens that a workspace is served, when its request starts.
     pub fn record_served(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
-        self.own.record_served(workspace, tokens, now);
+        self.local.record_served(workspace, tokens, now);
     }
 
-    /// Returns what a workspace asks of the peers more than these have told by now, in tokens in
-    /// the last second, as far as can be told from what it asks here.
+    /// Estimates a workspace's demand in the last second at the peers that they have not reported
+    /// yet, based on its demand here.
     ///
-    /// A flood that begins reaches all routers at once, and each hears of the others' part only
-    /// when they next tell their counts. Taken for all there is, its own part would be let through
-    /// whole. So growth here, beyond what chance would make it, is taken to be growth there, by the
-    /// proportion in which peers told of it before. Where nothing was told yet, all routers are
-    /// taken to get as much; one whose callers use few routers is thinned too far until then.
-    fn unheard(&self, workspace: WorkspaceKey, peers: f64, heard: usize, now: Time) -> f64 {
-        let own = self.own.lately(workspace, now);
-        let told = self.reported.get(&workspace).copied().unwrap_or_default();
-        let grown = own.requests - CHANCE * own.requests.sqrt() - told.requests;
+    /// A flood starts at all routers at once, and each one learns of the others' part only with
+    /// their next reports. If it took its own part for the whole demand, all of its own part would
+    /// be admitted. So growth here beyond chance is assumed to happen at the peers too, in the
+    /// ratio of their earlier reports. Without such reports all routers are assumed to receive
+    /// equal parts, so a workspace whose callers use few routers is limited too strictly until the
+    /// first reports.
+    fn unreported_demand(
+        &self,
+        workspace: WorkspaceKey,
+        peers: f64,
+        peer_count: usize,
+        now: Time,
+    ) -> f64 {
+        let local = self.local.recent(workspace, now);
+        let reported = self.reported.get(&workspace).copied().unwrap_or_default();
+        let grown = local.requests - GROWTH_DEVIATIONS * local.requests.sqrt() - reported.requests;
         if grown <= 0.0 {
             return 0.0;
         }
-        let each = own.tokens / own.requests;
-        let prior = PRIOR * each;
-        let proportion = (peers + heard as f64 * prior) / (told.tokens + prior);
+        let each = local.tokens / local.requests;
+        let prior = PRIOR_REQUESTS * each;
+        let proportion = (peers + peer_count as f64 * prior) / (reported.tokens + prior);
         grown * each * proportion
     }
 
-    /// Returns this router's own counts, to tell the peers, and notes what it tells.
+    /// Returns this router's own counts for a report to the peers, and remembers the reported
+    /// demand.
     pub fn report(&mut self, now: Time) -> Vec<(WorkspaceKey, UsageCounts)> {
-        let keys = self.own.workspaces();
-        let lately = keys.map(|key| (*key, self.own.lately(*key, now)));
-        self.reported = lately.collect();
-        let keys = self.own.workspaces();
-        let sums = keys.map(|key| (*key, self.own.sum(*key, now)));
+        let keys = self.local.workspaces();
+        let recent = keys.map(|key| (*key, self.local.recent(*key, now)));
+        self.reported = recent.collect();
+        let keys = self.local.workspaces();
+        let sums = keys.map(|key| (*key, self.local.sum(*key, now)));
         sums.filter(|(_, sum)| sum.requested > 0.0 || sum.served > 0.0)
             .collect()
     }
 
-    /// Takes a peer's counts, in place of those before.
+    /// Replaces the counts of a peer.
     pub fn set_peer(&mut self, from: &RouterId, counts: &[(WorkspaceKey, UsageCounts)], now: Time) {
-        self.peers.insert(from.clone(), Told::new(counts, now));
+        self.peers
+            .insert(from.clone(), UsageReport::new(counts, now));
     }
 
-    /// Replaces the sum of all other routers' counts.
+    /// Replaces the summed counts of all other routers.
     ///
-    /// Some of these may send their own counts as well, so the larger of both counts.
+    /// Some of these routers may also report to this one directly, so the larger value counts.
     pub fn set_summary(&mut self, counts: &[(WorkspaceKey, UsageCounts)], now: Time) {
-        self.summary = Some(Told::new(counts, now));
+        self.summary = Some(UsageReport::new(counts, now));
     }
 
-    /// Returns the counts of all routers but one, to send them to that one.
+    /// Returns the counts of all routers except one, as a summary for that one.
     pub fn counts_except(&self, peer: &RouterId, now: Time) -> Vec<(WorkspaceKey, UsageCounts)> {
         let theirs = self.peers.get(peer);
-        let theirs = theirs.filter(|told| self.heard.is_valid(told.at, now));
-        let mut all = self.told(now);
-        for key in self.own.workspaces() {
-            all.entry(*key).or_default().add(self.own.sum(*key, now));
+        let theirs = theirs.filter(|report| self.validity.is_valid(report.at, now));
+        let mut all = self.peer_counts(now);
+        for key in self.local.workspaces() {
+            all.entry(*key).or_default().add(self.local.sum(*key, now));
         }
-        for (key, counts) in theirs.iter().flat_map(|told| &told.counts) {
-            all.entry(*key).or_default().take(*counts);
+        for (key, counts) in theirs.iter().flat_map(|report| &report.counts) {
+            all.entry(*key).or_default().subtract(*counts);
         }
         let all = all.into_iter();
         all.filter(|(_, sum)| sum.requested > 0.0 || sum.served > 0.0)
             .collect()
     }
 
-    /// Drops what is too old to count.
+    /// Drops what is no longer valid.
     pub fn forget(&mut self, now: Time) {
         self.peers
-            .retain(|_, told| self.heard.is_valid(told.at, now));
+            .retain(|_, report| self.validity.is_valid(report.at, now));
         self.summary
-            .take_if(|told| !self.heard.is_valid(told.at, now));
-        self.own.forget(now);
+            .take_if(|report| !self.validity.is_valid(report.at, now));
+        self.local.forget(now);
     }
 
-    /// Returns the counts of the peers that were heard of late.
-    fn heard(&self, now: Time) -> impl Iterator<Item = &HashMap<WorkspaceKey, UsageCounts>> {
-        let heard = self.peers.values();
-        let heard = heard.filter(move |told| self.heard.is_valid(told.at, now));
-        heard.map(|told| &told.counts)
+    /// Returns the valid counts of the peers.
+    fn valid_counts(&self, now: Time) -> impl Iterator<Item = &HashMap<WorkspaceKey, UsageCounts>> {
+        let valid = self.peers.values();
+        let valid = valid.filter(move |report| self.validity.is_valid(report.at, now));
+        valid.map(|report| &report.counts)
     }
 
-    /// Returns the counts of the last summary, where it counts.
-    fn summed(&self, now: Time) -> Option<&HashMap<WorkspaceKey, UsageCounts>> {
+    /// Returns the counts of the last summary, if it is valid.
+    fn summary_counts(&self, now: Time) -> Option<&HashMap<WorkspaceKey, UsageCounts>> {
         let summary = self.summary.as_ref();
-        let summary = summary.filter(|told| self.heard.is_valid(told.at, now));
-        summary.map(|told| &told.counts)
+        let summary = summary.filter(|report| self.validity.is_valid(report.at, now));
+        summary.map(|report| &report.counts)
     }
 
     /// Returns the counts of all other routers.
-    fn told(&self, now: Time) -> HashMap<WorkspaceKey, UsageCounts> {
+    fn peer_counts(&self, now: Time) -> HashMap<WorkspaceKey, UsageCounts> {
         let mut all: HashMap<WorkspaceKey, UsageCounts> = HashMap::new();
-        for (key, counts) in self.heard(now).flatten() {
+        for (key, counts) in self.valid_counts(now).flatten() {
             all.entry(*key).or_default().add(*counts);
         }
-        for (key, counts) in self.summed(now).into_iter().flatten() {
+        for (key, counts) in self.summary_counts(now).into_iter().flatten() {
             let sum = all.entry(*key).or_default();
             *sum = sum.max(*counts);
         }
         all
     }
 
-    /// Adds to what so many peers told of a workspace what is known of it here.
-    fn with_own(
+    /// Adds this router's own counts, and its estimate of unreported demand, to what `heard` peers
+    /// reported of a workspace.
+    fn with_local(
         &self,
         key: WorkspaceKey,
         theirs: UsageCounts,
-        heard: usize,
+        peer_count: usize,
         now: Time,
     ) -> UsageCounts {
-        let mut sum = self.own.sum(key, now);
+        let mut sum = self.local.sum(key, now);
         sum.add(theirs);
-        sum.recent += self.unheard(key, f64::from(theirs.recent), heard, now) as f32;
+        sum.recent += self.unreported_demand(key, f64::from(theirs.recent), peer_count, now) as f32;
         sum
     }
 
     fn sum(&self, workspace: WorkspaceKey, now: Time) -> UsageCounts {
         let mut theirs = UsageCounts::default();
-        for counts in self.heard(now) {
+        for counts in self.valid_counts(now) {
             theirs.add(counts.get(&workspace).copied().unwrap_or_default());
         }
-        let summed = self.summed(now).and_then(|all| all.get(&workspace));
+        let summed = self.summary_counts(now).and_then(|all| all.get(&workspace));
         let theirs = theirs.max(summed.copied().unwrap_or_default());
-        self.with_own(workspace, theirs, self.heard(now).count(), now)
+        self.with_local(workspace, theirs, self.valid_counts(now).count(), now)
     }
 
-    /// Returns where a request of a workspace stands; `roll` is a number from 0 to 1 that is
-    /// drawn for the request.
+    /// Returns the usage standing of a request of a workspace, where `roll` is a random number from
+    /// 0 to 1 that belongs to the request.
     ///
-    /// The load is several workspaces that each ask for far more than there is, at many
-    /// routers. Each router lets through the same part of each workspace's requests, even part
-    /// over what is asked, and the sum over the fleet is that part. Counts that are late do
-    /// little harm, as what is asked changes slowly. Judged by what it was given, a workspace
-    /// above its part would get nothing for seconds and then, until all have heard of it, far too
-    /// much.
+    /// The expected load is several workspaces that each request far more than there is, at many
+    /// routers. Each router admits the same fraction of a workspace's requests, its max-min share
+    /// divided by its demand, so the sum over the fleet is that share. Late counts do little harm,
+    /// as demand changes slowly. If the amount served decided instead, a workspace above its share
+    /// would get nothing for seconds and then, until all routers have the reports, far too much.
     pub fn standing(&mut self, workspace: WorkspaceKey, roll: f64, now: Time) -> UsageStanding {
         if self.capacity <= 0.0 {
             return UsageStanding::default();
         }
-        let levels = self.levels(now);
+        let fair_shares = self.fair_shares(now);
         let sum = self.sum(workspace, now);
-        let lately = f64::from(sum.recent);
+        let recent = f64::from(sum.recent);
         UsageStanding {
-            share: f64::from(sum.served) / levels.stated.max(1.0),
-            max_min_ratio: match lately <= levels.actual {
+            share: f64::from(sum.served) / fair_shares.configured.max(1.0),
+            max_min_ratio: match recent <= fair_shares.max_min {
                 true => 0.0,
-                false => roll * lately / levels.actual.max(1.0),
+                false => roll * recent / fair_shares.max_min.max(1.0),
             },
-            demand: lately,
-            max_min_share: levels.actual,
+            demand: recent,
+            max_min_share: fair_shares.max_min,
         }
     }
 
-    fn levels(&mut self, now: Time) -> Levels {
-        if let Some((at, levels)) = self.levels {
-            if now.since(at) < FRESH {
-                return levels;
+    fn fair_shares(&mut self, now: Time) -> FairShares {
+        if let Some((at, fair_shares)) = self.fair_shares {
+            if now.since(at) < REFRESH_INTERVAL {
+                return fair_shares;
             }
         }
-        let mut all = self.told(now);
-        let heard = self.heard(now).count();
-        for key in self.own.workspaces() {
+        let mut all = self.peer_counts(now);
+        let peer_count = self.valid_counts(now).count();
+        for key in self.local.workspaces() {
             let sum = all.entry(*key).or_default();
-            *sum = self.with_own(*key, *sum, heard, now);
+            *sum = self.with_local(*key, *sum, peer_count, now);
         }
-        let asks: Vec<f64> = all.values().map(|a| f64::from(a.requested)).collect();
-        let lately: Vec<f64> = all.values().map(|a| f64::from(a.recent)).collect();
+        let demands: Vec<f64> = all.values().map(|a| f64::from(a.requested)).collect();
+        let recent: Vec<f64> = all.values().map(|a| f64::from(a.recent)).collect();
         let given: f64 = all.values().map(|a| f64::from(a.served)).sum();
-        let stated = self.capacity * self.own.length().as_secs();
-        let part = LATELY.as_secs() / self.own.length().as_secs();
-        let levels = Levels {
-            stated: max_min_share(&asks, stated),
-            actual: max_min_share(&lately, given.max(stated) * part),
+        let configured = self.capacity * self.local.length().as_secs();
+        let part = RECENT_SPAN.as_secs() / self.local.length().as_secs();
+        let fair_shares = FairShares {
+            configured: max_min_share(&demands, configured),
+            max_min: max_min_share(&recent, given.max(configured) * part),
         };
-        self.levels = Some((now, levels));
-        levels
+        self.fair_shares = Some((now, fair_shares));
+        fair_shares
     }
 }
--- a/crates/policy/src/quota/tally.rs
+++ b/crates/policy/src/quota/tally.rs
@@ -1,4 +1,4 @@
-//! What became of the requests of each workspace at one router, for operators.
+//! Outcomes of each workspace's requests at one router, for operators.
 
 use {
     super::UsageStanding,
@@ -12,29 +12,29 @@
     },
 };
 
-/// Tokens of a workspace by what became of them.
+/// Tokens of a workspace by the outcome of their requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Outcomes {
-    /// Begun.
+    /// Started.
     pub begun: u64,
-    /// Refused though the request was within its workspace's even part, as slots were taken.
+    /// Rejected for lack of slots, though the request was within its workspace's max-min share.
     pub slots: u64,
-    /// The same, as their best engines fail requests.
+    /// The same, because the best engines fail requests.
     pub failures: u64,
-    /// The same for any other reason, such as time to be read.
+    /// The same, for any other reason such as the time to read prompts.
     pub time: u64,
-    /// Refused beyond the even part.
+    /// Rejected beyond the max-min share.
     pub beyond: u64,
 }
 
 impl Outcomes {
-    /// Returns the tokens that were refused.
+    /// Returns the rejected tokens.
     pub fn refused(&self) -> u64 {
         self.slots + self.failures + self.time + self.beyond
     }
 }
 
-/// Counts outcomes until they are taken.
+/// Counts outcomes until they are collected.
 ///
 /// # Examples
 ///
@@ -56,21 +56,21 @@
 }
 
 impl Tally {
-    /// Counts a request that begins.
+    /// Counts a request that starts.
     pub fn begun(&mut self, workspace: &WorkspaceId, tokens: u64) {
         self.of(workspace).begun += tokens;
     }
 
-    /// Counts a request that is refused, by why its best engine does not take it.
+    /// Counts a rejected request, by the limit because of which its best engine doesn't take it.
     pub fn refused(
         &mut self,
         workspace: &WorkspaceId,
         tokens: u64,
-        at: UsageStanding,
+        usage: UsageStanding,
         bound: Bound,
     ) {
         let counts = self.of(workspace);
-        let count = match (at.max_min_ratio > 1.0, bound) {
+        let count = match (usage.max_min_ratio > 1.0, bound) {
             (true, _) => &mut counts.beyond,
             (false, Bound::Slots) => &mut counts.slots,
             (false, Bound::Failures) => &mut counts.failures,
@@ -79,7 +79,8 @@
         *count += tokens;
     }
 
-    /// Returns the workspaces that had most refused, so many at the most, and begins anew.
+    /// Returns the workspaces with most rejected tokens, up to `most` of them, and resets the
+    /// counts.
     pub fn take(&mut self, most: usize) -> Vec<(WorkspaceId, Outcomes)> {
         let refused = self.counts.drain().filter(|(_, o)| o.refused() > 0);
         let mut all: Vec<_> = refused.collect();
--- a/crates/policy/src/quota/window.rs
+++ b/crates/policy/src/quota/window.rs
@@ -1,4 +1,4 @@
-//! What workspaces asked of this router of late, and were given.
+//! Requested and served tokens of workspaces at this router.
 
 use {
     super::{
@@ -16,10 +16,10 @@
 };
 
 /// Length of one step of the window.
-const STEP: Span = Span::millis(250);
-/// The asks of this span decide how several floods share what there is. A flood that begins is
-/// let through whole until it shows in what was asked, which takes as long.
-pub(super) const LATELY: Span = Span::secs(1);
+const STEP_LENGTH: Span = Span::millis(250);
+/// Span of the recent demand, by which several floods share the capacity. A new flood is admitted
+/// in full until its demand shows, which takes this long.
+pub(super) const RECENT_SPAN: Span = Span::secs(1);
 
 /// Counts of workspaces over a sliding window.
 #[derive(Debug)]
@@ -33,13 +33,13 @@
 struct Step {
     at: Time,
     counts: UsageCounts,
-    /// Requests that asked.
+    /// Number of requests.
     requests: u32,
 }
 
-/// What a workspace asked for in the last second.
+/// Demand of a workspace in the last second.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Lately {
+pub(super) struct RecentDemand {
     pub(super) tokens: f64,
     pub(super) requests: f64,
 }
@@ -56,14 +56,14 @@
         self.length
     }
 
-    /// Counts a request and the tokens that it asks for.
+    /// Counts a request and the tokens that it requests.
     pub(super) fn record_requested(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
         let step = self.step(workspace, now);
         step.counts.requested += tokens as f32;
         step.requests += 1;
     }
 
-    /// Counts tokens that were given.
+    /// Counts tokens that are served.
     pub(super) fn record_served(&mut self, workspace: WorkspaceKey, tokens: f64, now: Time) {
         self.step(workspace, now).counts.served += tokens as f32;
     }
@@ -74,7 +74,7 @@
         while steps.front().is_some_and(|s| now.since(s.at) >= length) {
             steps.pop_front();
         }
-        if steps.back().is_none_or(|s| now.since(s.at) >= STEP) {
+        if steps.back().is_none_or(|s| now.since(s.at) >= STEP_LENGTH) {
             steps.push_back(Step {
                 at: now,
                 counts: UsageCounts::default(),
@@ -85,7 +85,7 @@
         &mut steps[last]
     }
 
-    /// Returns the workspaces that are counted.
+    /// Returns the workspaces with counts.
     pub(super) fn workspaces(&self) -> impl Iterator<Item = &WorkspaceKey> {
         self.steps.keys()
     }
@@ -96,14 +96,14 @@
         for step in self.since(workspace, self.length, now) {
             sum.add(step.counts);
         }
-        sum.recent = self.lately(workspace, now).tokens as f32;
+        sum.recent = self.recent(workspace, now).tokens as f32;
         sum
     }
 
-    /// Returns what a workspace asked for in the last second.
-    pub(super) fn lately(&self, workspace: WorkspaceKey, now: Time) -> Lately {
-        let recent = self.since(workspace, LATELY, now);
-        recent.fold(Lately::default(), |sum, step| Lately {
+    /// Returns the demand of a workspace in the last second.
+    pub(super) fn recent(&self, workspace: WorkspaceKey, now: Time) -> RecentDemand {
+        let steps = self.since(workspace, RECENT_SPAN, now);
+        steps.fold(RecentDemand::default(), |sum, step| RecentDemand {
             tokens: sum.tokens + f64::from(step.counts.requested),
             requests: sum.requests + f64::from(step.requests),
         })
@@ -114,7 +114,7 @@
         steps.filter(move |s| now.since(s.at) < span)
     }
 
-    /// Drops workspaces of which nothing is in the window.
+    /// Drops workspaces without counts in the window.
     pub(super) fn forget(&mut self, now: Time) {
         let length = self.length;
         let recent = |s: &Step| now.since(s.at) < length;
