--- a/crates/policy/src/quarantine/digest.rs
+++ b/crates/policy/src/quarantine/digest.rs
@@ -1,4 +1,4 @@
-//! Which requests are the same.
+//! Identification of repeated requests.
 
 use {
     crate::WorkspaceId,
@@ -14,9 +14,9 @@
     xxhash_rust::xxh3::Xxh3, //
 };
 
-/// A short name of what a caller asks: the same each time it asks the same, at any router.
+/// A hash of the content of a request, the same at any router each time a caller repeats it.
 ///
-/// The caller's id of a request is another each time, so it can't tell that.
+/// The caller's request id can't serve for this, since each attempt has a new one.
 ///
 /// # Examples
 ///
@@ -36,12 +36,13 @@
 pub struct RequestDigest(pub u64);
 
 impl RequestDigest {
-    /// Makes the digest of a request of a workspace: what stands in its head, and its body.
+    /// Returns the digest of a workspace's request: the relevant parts of its head, and its body.
     pub fn of(workspace: Option<&WorkspaceId>, head: &[&[u8]], body: &[u8]) -> RequestDigest {
         let mut hash = Xxh3::new();
         let workspace = workspace.map_or("", |w| w.as_str());
         for part in [workspace.as_bytes()].iter().chain(head).chain(&[body]) {
-            // With their lengths, so that a byte can't move from one part to the next unseen.
+            // The lengths are included so that moving a byte from one part to the next changes the
+            // digest.
             hash.update(&(part.len() as u64).to_le_bytes());
             hash.update(part);
         }
--- a/crates/policy/src/quarantine/mod.rs
+++ b/crates/policy/src/quarantine/mod.rs
@@ -1,28 +1,28 @@
-//! Requests under which replicas end.
+//! Quarantine of requests that crash replicas.
 //!
-//! A request may end each replica that begins to run it, with all that runs there. Its caller asks
-//! again, at any router, and each attempt by itself looks like one that had bad luck. So routers
-//! tell each other which requests had just begun at a replica that ended, and one that was there
-//! each time is refused by all of them.
+//! A request may crash each replica that starts to run it, along with everything else that runs
+//! there. Its caller retries at any router, and each attempt by itself looks like bad luck. So
+//! routers report to each other which requests had just started at a replica that ended, and all of
+//! them reject a request that was there every time.
 //!
-//! Others are there by chance. What tells them apart is that they end no replica when they come
-//! again: a request that is answered anywhere is above suspicion.
+//! Other requests are there by chance. The difference is that they end no replica when they are
+//! retried: a request that gets an answer anywhere is cleared.
 
 mod digest;
-mod notes;
 mod record;
 mod table;
+mod update;
 
 pub use self::{
     digest::RequestDigest,
-    notes::{
+    table::{
+        Quarantine,
+        HOLD_DURATION, //
+    },
+    update::{
         Answered,
         Ended,
         Held,
         QuarantineUpdate, //
     },
-    table::{
-        Quarantine,
-        HOLD_DURATION, //
-    },
 };
--- a/crates/policy/src/quarantine/record.rs
+++ b/crates/policy/src/quarantine/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one suspected request.
+//! The record of one suspected request.
 
 use crate::{
     placement::ReplicaKey,
@@ -6,85 +6,87 @@
     Time, //
 };
 
-/// Replicas that end this soon after each other end at one moment. It takes some milliseconds until
-/// all routers have seen it.
-const MOMENT: Span = Span::millis(40);
-/// Ends that count of one moment. A rack that fails takes several replicas at once, and a caller who
-/// asks many times over may have a copy at each: what ended nothing would be held back for that
-/// alone. A request that ends replicas is sent on, and is there at other moments too.
-const MOST_AT_ONCE: usize = 2;
+/// Replicas that end within this time count as simultaneous. It takes some milliseconds until all
+/// routers have noticed an end.
+const SIMULTANEOUS_SPAN: Span = Span::millis(40);
+/// Number of simultaneous ends that count. A rack failure takes down several replicas at once, and
+/// a caller that sends many copies of a request may have one at each, which alone would put a
+/// harmless request on hold. A request that does crash replicas is retried, and is there at other
+/// times too.
+const SIMULTANEOUS_MAX: usize = 2;
 
-/// The end of a replica under the request.
+/// The end of a replica that had the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct End {
     pub(super) replica: ReplicaKey,
     pub(super) at: Time,
-    /// This router saw it.
-    pub(super) own: bool,
+    /// Whether this router saw it.
+    pub(super) local: bool,
 }
 
 /// What is known of one request.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Record {
-    /// Ends since it was last answered.
+    /// Ends since the last answer.
     pub(super) ends: Vec<End>,
-    /// When it was last answered.
+    /// Time of the last answer.
     pub(super) answered: Option<Time>,
-    /// This router saw that.
-    pub(super) own_answer: bool,
-    /// Until when it is held back. Once past, it is let through, and the next end holds it back.
+    /// Whether this router saw that answer.
+    pub(super) answer_is_local: bool,
+    /// End of the hold. Afterwards the request is let through, and the next end starts another
+    /// hold.
     pub(super) until: Option<Time>,
-    /// When any of this last changed.
+    /// Time of the last change.
     pub(super) changed: Time,
 }
 
 impl Record {
-    /// Takes the end of a replica. Returns whether it is the first word of it.
+    /// Adds the end of a replica. Returns whether it was unknown so far.
     pub(super) fn end(&mut self, end: End) -> bool {
-        // An answer that came after it has cleared the request of it.
+        // A later answer has cleared the request of this end.
         if self.answered.is_some_and(|at| at >= end.at) {
             return false;
         }
         let known = self.ends.iter_mut().find(|e| e.replica == end.replica);
-        let news = known.is_none();
+        let is_new = known.is_none();
         match known {
             Some(known) => known.at = known.at.min(end.at),
             None => self.ends.push(end),
         }
         self.ends.sort_by_key(|e| e.at);
-        news
+        is_new
     }
 
-    /// Tells whether this router saw one of the ends.
-    pub(super) fn seen_here(&self) -> bool {
-        self.ends.iter().any(|e| e.own)
+    /// Returns whether this router saw one of the ends.
+    pub(super) fn is_seen_locally(&self) -> bool {
+        self.ends.iter().any(|e| e.local)
     }
 
-    /// Takes an answer, which clears it of everything before.
-    pub(super) fn answer(&mut self, at: Time, own: bool) {
+    /// Records an answer, which clears the request of everything before.
+    pub(super) fn answer(&mut self, at: Time, local: bool) {
         self.answered = self.answered.max(Some(at));
-        self.own_answer = own;
+        self.answer_is_local = local;
         self.ends.retain(|e| e.at > at);
         self.until = None;
     }
 
-    /// Counts the ends, of each moment [`MOST_AT_ONCE`] at the most.
+    /// Counts the ends, with at most [`SIMULTANEOUS_MAX`] simultaneous ones.
     pub(super) fn count(&self) -> usize {
         let mut last: Option<Time> = None;
-        let mut at_once = 0;
+        let mut simultaneous = 0;
         let mut count = 0;
         for end in &self.ends {
-            let same = last.is_some_and(|at| end.at.since(at) < MOMENT);
-            at_once = if same { at_once + 1 } else { 1 };
-            count += usize::from(at_once <= MOST_AT_ONCE);
+            let same = last.is_some_and(|at| end.at.since(at) < SIMULTANEOUS_SPAN);
+            simultaneous = if same { simultaneous + 1 } else { 1 };
+            count += usize::from(simultaneous <= SIMULTANEOUS_MAX);
             last = Some(end.at);
         }
         count
     }
 
-    /// Returns how much longer it is held back, where it is.
-    pub(super) fn left(&self, now: Time) -> Option<Span> {
-        let left = self.until?.since(now);
-        (left > Span::ZERO).then_some(left)
+    /// Returns the remaining time of the hold, if there is one.
+    pub(super) fn remaining(&self, now: Time) -> Option<Span> {
+        let remaining = self.until?.since(now);
+        (remaining > Span::ZERO).then_some(remaining)
     }
 }
--- a/crates/policy/src/quarantine/table.rs
+++ b/crates/policy/src/quarantine/table.rs
@@ -1,4 +1,4 @@
-//! The suspected requests, over the fleet.
+//! The suspected requests of the whole fleet.
 
 use {
     super::{
@@ -20,29 +20,31 @@
     std::collections::HashMap,
 };
 
-/// Replicas that ended under a request, from which it is held back. Two happen by chance: after a
-/// crash requests with the same home move to the same other engine.
-const ENDS: usize = 3;
-/// How long a request is held back. After that it is let through once more, and one more replica
-/// ends if nothing has changed: with ten minutes that is the work of a replica for some seconds
-/// out of six hundred.
+/// Number of replica ends from which a request is held. Two happen by chance: after a crash,
+/// requests with the same preferred replica move to the same other engine.
+const ENDS_LIMIT: usize = 3;
+/// Duration of a hold. Afterwards the request is let through once, and ends one more replica if
+/// nothing has changed: with ten minutes this costs a replica's work for some seconds out of six
+/// hundred.
 pub const HOLD_DURATION: Span = Span::secs(600);
-/// A request that was answered this recently is not what ends a replica. A question that many
-/// callers ask is at several replicas at any time, and at most of those that crash.
-const TRUSTED: Span = Span::secs(10);
-/// How long an end counts. A caller who asks again does so within minutes.
-const KEPT: Span = Span::secs(3_600);
-/// How long news is told: in several words, as one in some hundred is lost.
-const TOLD: Span = Span::secs(2);
-/// Two routers that tell each other how much longer to hold a request back must not keep it up by
-/// the time that their words take. What is told counts only where it adds more than this.
-const ADDS: Span = Span::secs(1);
-/// Most requests that are remembered: each crash of a replica adds some ten.
-const MOST: usize = 4_096;
-/// Most that one word tells of each kind, the newest first, so that it fits into a datagram.
-const MOST_TOLD: usize = 32;
+/// A request that was answered this recently is not what ends a replica. A request that many
+/// callers send is at several replicas at any time, including most of those that crash.
+const TRUST_SPAN: Span = Span::secs(10);
+/// How long a record is kept without changes. Callers retry within minutes.
+const RECORD_RETENTION: Span = Span::secs(3_600);
+/// How long an event is reported: in several messages, as one in a few hundred is lost.
+const REPORT_SPAN: Span = Span::secs(2);
+/// Two routers that report the remaining time of a hold to each other must not prolong it by the
+/// latency of their messages. A reported time counts only if it exceeds the known one by more than
+/// this.
+const HOLD_MARGIN: Span = Span::secs(1);
+/// Maximum number of records. Each crash of a replica adds about ten.
+const RECORDS_MAX: usize = 4_096;
+/// Maximum number of entries of each kind in one update, the newest first, so that it fits into a
+/// datagram.
+const UPDATE_MAX: usize = 32;
 
-/// Which requests are not sent to any replica, as replicas ended under them.
+/// Requests that are not sent to any replica because replicas ended under them.
 ///
 /// # Examples
 ///
@@ -61,29 +63,29 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     records: HashMap<RequestDigest, Record>,
-    /// What was answered here of late, suspected or not.
+    /// Requests that were answered here recently, suspected or not.
     trusted: HashMap<RequestDigest, Time>,
-    /// This router saw something that it has not told yet.
-    news: bool,
-    /// A request is held back under which this router saw a replica end, and that is not written
-    /// down yet.
-    begun: bool,
+    /// This router saw an event that it has not reported yet.
+    unreported: bool,
+    /// A request is held under which this router saw a replica end, and that is not written to the
+    /// store yet.
+    new_holds: bool,
 }
 
 impl Quarantine {
-    /// Notes that a replica ended which had just begun a request, or was about to. Returns whether
-    /// the request is held back from now on and was not before.
+    /// Records that a replica ended which had just started a request, or was about to. Returns
+    /// whether this starts a hold of the request.
     pub fn ended(&mut self, digest: RequestDigest, replica: ReplicaKey, now: Time) -> bool {
         let end = End {
             replica,
             at: now,
-            own: true,
+            local: true,
         };
-        self.news = true;
+        self.unreported = true;
         self.take_end(digest, end, now)
     }
 
-    /// Notes that a replica answered a request.
+    /// Records that a replica answered a request.
     pub fn answered(&mut self, digest: RequestDigest, now: Time) {
         self.trusted.insert(digest, now);
         let Some(record) = self.records.get_mut(&digest) else {
@@ -94,159 +96,164 @@
         }
         record.answer(now, true);
         record.changed = now;
-        self.news = true;
+        self.unreported = true;
     }
 
-    /// Returns for how much longer a request is to be held back, where it is.
+    /// Returns the remaining time of the hold of a request, if it is held.
     pub fn remaining(&self, digest: RequestDigest, now: Time) -> Option<Span> {
-        self.records.get(&digest)?.left(now)
+        self.records.get(&digest)?.remaining(now)
     }
 
-    /// Takes what another router tells. Returns which requests are held back from now on and were
-    /// not before.
-    pub fn apply_update(&mut self, notes: &QuarantineUpdate, now: Time) -> Vec<RequestDigest> {
-        let mut begun = Vec::new();
-        for answered in &notes.answered {
-            self.hear_answered(answered, now);
+    /// Applies the update of another router. Returns the requests that are held from now on.
+    pub fn apply_update(&mut self, update: &QuarantineUpdate, now: Time) -> Vec<RequestDigest> {
+        let mut new_holds = Vec::new();
+        for answered in &update.answered {
+            self.apply_answered(answered, now);
         }
-        for ended in &notes.ended {
+        for ended in &update.ended {
             let at = now - ended.age;
             let end = End {
                 replica: ended.replica,
                 at,
-                own: false,
+                local: false,
             };
             if self.take_end(ended.digest, end, now) {
-                begun.push(ended.digest);
+                new_holds.push(ended.digest);
             }
         }
-        for held in &notes.held {
-            if self.hear_held(held, now) {
-                begun.push(held.digest);
+        for held in &update.held {
+            if self.apply_held(held, now) {
+                new_holds.push(held.digest);
             }
         }
-        begun
+        new_holds
     }
 
-    /// Returns what all routers are to hear: what is held back, that which began last first.
+    /// Returns the update for all routers: the holds, the newest first.
     pub fn held_update(&self, now: Time) -> QuarantineUpdate {
         let held = self.records.iter().filter_map(|(digest, record)| {
             Some(Held {
                 digest: *digest,
-                left: record.left(now)?,
+                left: record.remaining(now)?,
             })
         });
         let mut held: Vec<Held> = held.collect();
         held.sort_by_key(|h| (std::cmp::Reverse(h.left), h.digest));
-        held.truncate(MOST_TOLD);
+        held.truncate(UPDATE_MAX);
         QuarantineUpdate {
             held,
             ..QuarantineUpdate::default()
         }
     }
 
-    /// Returns what the routers that take callers are to hear: besides what is held back, what
-    /// this router saw of late.
+    /// Returns the update for routers that serve callers: the holds, and what this router saw
+    /// recently.
     pub fn full_update(&self, now: Time) -> QuarantineUpdate {
-        let mut notes = self.held_update(now);
+        let mut update = self.held_update(now);
         for (digest, record) in &self.records {
-            let fresh = |at: Time| now.since(at) < TOLD;
-            let own = record.ends.iter().filter(|e| e.own && fresh(e.at));
-            notes.ended.extend(own.map(|e| Ended {
+            let recent = |at: Time| now.since(at) < REPORT_SPAN;
+            let local = record.ends.iter().filter(|e| e.local && recent(e.at));
+            update.ended.extend(local.map(|e| Ended {
                 digest: *digest,
                 replica: e.replica,
                 age: now.since(e.at),
             }));
-            let answered = record.answered.filter(|at| record.own_answer && fresh(*at));
-            notes.answered.extend(answered.map(|at| Answered {
+            let answered = record
+                .answered
+                .filter(|at| record.answer_is_local && recent(*at));
+            update.answered.extend(answered.map(|at| Answered {
                 digest: *digest,
                 age: now.since(at),
             }));
         }
-        notes.ended.sort_by_key(|e| (e.age, e.digest));
-        notes.ended.truncate(MOST_TOLD);
-        notes.answered.sort_by_key(|a| (a.age, a.digest));
-        notes.answered.truncate(MOST_TOLD);
-        notes
+        update.ended.sort_by_key(|e| (e.age, e.digest));
+        update.ended.truncate(UPDATE_MAX);
+        update.answered.sort_by_key(|a| (a.age, a.digest));
+        update.answered.truncate(UPDATE_MAX);
+        update
     }
 
-    /// Tells whether this router saw something that it has not told yet, once for each time.
+    /// Returns whether this router saw an event that it has not reported yet, and resets that.
     pub fn take_unreported(&mut self) -> bool {
-        std::mem::take(&mut self.news)
+        std::mem::take(&mut self.unreported)
     }
 
-    /// Tells whether a request is held back from now on under which this router saw a replica end,
-    /// once for each time.
+    /// Returns whether a hold has started for a request under which this router saw a replica end,
+    /// and resets that.
     ///
-    /// Those who saw one are the ones to write it down. Of two ends at the same time at two routers
-    /// neither knows that it is the third until it hears of the other.
+    /// The routers that saw an end write the hold to the store. If two routers see an end at the
+    /// same time, neither knows that it is the third until it receives the other's report.
     pub fn take_new_holds(&mut self) -> bool {
-        std::mem::take(&mut self.begun)
+        std::mem::take(&mut self.new_holds)
     }
 
-    /// Returns how many requests are held back.
+    /// Returns the number of held requests.
     pub fn count(&self, now: Time) -> usize {
-        let held = self.records.values().filter(|r| r.left(now).is_some());
+        let held = self.records.values().filter(|r| r.remaining(now).is_some());
         held.count()
     }
 
-    /// Drops what is too old to count.
+    /// Drops records that are too old.
     pub fn forget(&mut self, now: Time) {
-        self.records.retain(|_, r| now.since(r.changed) < KEPT);
-        self.trusted.retain(|_, at| now.since(*at) < TRUSTED);
+        self.records
+            .retain(|_, r| now.since(r.changed) < RECORD_RETENTION);
+        self.trusted.retain(|_, at| now.since(*at) < TRUST_SPAN);
     }
 
     fn take_end(&mut self, digest: RequestDigest, end: End, now: Time) -> bool {
         self.make_room(digest);
         let record = self.records.entry(digest).or_default();
         let trusted = self.trusted.get(&digest);
-        if trusted.is_some_and(|at| now.since(*at) < TRUSTED) {
-            // Those who saw no answer of it are to hear that there was one.
+        if trusted.is_some_and(|at| now.since(*at) < TRUST_SPAN) {
+            // Routers that haven't seen the answer need a report of it.
             record.answer(now, true);
             record.changed = now;
-            self.news = true;
+            self.unreported = true;
             return false;
         }
         if !record.end(end) {
             return false;
         }
         record.changed = now;
-        // Whoever was held back before and is let through again has no more chances.
-        let proven = record.count() >= ENDS || record.until.is_some();
-        let before = record.left(now).is_some();
+        // A request that was held before is held again after a single end.
+        let proven = record.count() >= ENDS_LIMIT || record.until.is_some();
+        let before = record.remaining(now).is_some();
         if proven {
             record.until = record.until.max(Some(end.at + HOLD_DURATION));
         }
-        let begun = proven && !before;
-        self.begun |= begun && record.seen_here();
-        begun
+        let is_new = proven && !before;
+        self.new_holds |= is_new && record.is_seen_locally();
+        is_new
     }
 
-    fn hear_answered(&mut self, answered: &Answered, now: Time) {
+    fn apply_answered(&mut self, answered: &Answered, now: Time) {
         if let Some(record) = self.records.get_mut(&answered.digest) {
             record.answer(now - answered.age, false);
             record.changed = now;
         }
     }
 
-    fn hear_held(&mut self, held: &Held, now: Time) -> bool {
+    fn apply_held(&mut self, held: &Held, now: Time) -> bool {
         self.make_room(held.digest);
         let record = self.records.entry(held.digest).or_default();
-        // Those who have not heard of an answer yet go on telling that it is held back.
-        if record.answered.is_some_and(|at| now.since(at) < TOLD * 2.0) {
+        // Routers that don't know of the answer yet still report the hold.
+        if record
+            .answered
+            .is_some_and(|at| now.since(at) < REPORT_SPAN * 2.0)
+        {
             return false;
         }
-        let before = record.left(now);
-        if held.left > before.unwrap_or_default() + ADDS {
+        let before = record.remaining(now);
+        if held.left > before.unwrap_or_default() + HOLD_MARGIN {
             record.until = Some(now + held.left.min(HOLD_DURATION));
             record.changed = now;
         }
-        before.is_none() && record.left(now).is_some()
+        before.is_none() && record.remaining(now).is_some()
     }
 
-    /// Drops the request of which nothing was heard for longest, where there are too many.
+    /// Drops the record that has not changed for longest, if there are too many.
     fn make_room(&mut self, digest: RequestDigest) {
-        if self.records.len() < MOST || self.records.contains_key(&digest) {
+        if self.records.len() < RECORDS_MAX || self.records.contains_key(&digest) {
             return;
         }
         let held = |r: &Record| r.until.is_some();
--- a/crates/policy/src/quarantine/notes.rs
+++ b/crates/policy/src/quarantine/update.rs
@@ -1,4 +1,4 @@
-//! What routers tell each other of requests under which replicas end.
+//! Messages between routers about requests that crash replicas.
 
 use {
     super::RequestDigest,
@@ -12,23 +12,23 @@
     },
 };
 
-/// A replica ended that had just begun a request, or was about to.
+/// A replica ended that had just started a request, or was about to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ended {
     /// The request.
     pub digest: RequestDigest,
-    /// The start of the replica.
+    /// The incarnation of the replica.
     pub replica: ReplicaKey,
-    /// How long ago.
+    /// Time since it ended.
     pub age: Span,
 }
 
-/// A replica answered a request that was suspected.
+/// A replica answered a suspected request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answered {
     /// The request.
     pub digest: RequestDigest,
-    /// How long ago.
+    /// Time since the answer.
     pub age: Span,
 }
 
@@ -37,17 +37,17 @@
 pub struct Held {
     /// The request.
     pub digest: RequestDigest,
-    /// For how much longer.
+    /// Remaining time of the hold.
     pub left: Span,
 }
 
-/// What a router tells the others.
+/// What a router reports to the others.
 #[derive(Debug, Clone, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct QuarantineUpdate {
-    /// What it saw of late.
+    /// Ends of replicas that it saw recently.
     pub ended: Vec<Ended>,
-    /// What was answered of late, of what was suspected.
+    /// Recent answers to suspected requests.
     pub answered: Vec<Answered>,
-    /// All that it holds back.
+    /// All requests that it holds.
     pub held: Vec<Held>,
 }
