--- a/crates/policy/src/retry/budget.rs
+++ b/crates/policy/src/retry/budget.rs
@@ -1,4 +1,4 @@
-//! Retries as a fraction of first tries.
+//! Retries as a fraction of first attempts.
 
 use {
     crate::{
@@ -9,20 +9,20 @@
     std::collections::VecDeque, //
 };
 
-/// First tries are counted over this span.
+/// Span over which first attempts are counted.
 const WINDOW: Span = Span::secs(10);
-/// The window slides in steps of this span.
-const STEP: Span = Span::secs(1);
+/// Length of the steps in which the window slides.
+const STEP_LENGTH: Span = Span::secs(1);
 
-/// How much may be spent on retries.
+/// Limits of the retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetLimits {
-    /// Retries for each first try.
+    /// Retries per first attempt.
     pub fraction: f64,
-    /// Retries in a second that are allowed besides, so that a quiet router can retry.
+    /// Additional retries per second, so that a router with few requests can retry.
     pub floor: f64,
-    /// Part of all these that is allowed besides to answers that have begun, so that retries of
-    /// new requests can't use up what keeps those from being cut.
+    /// Additional fraction for answers that have started, so that retries of new requests can't use
+    /// up the retries that keep those answers from being aborted.
     pub reserve: f64,
 }
 
@@ -38,8 +38,8 @@
 
 /// The retries that one router may still make to one service.
 ///
-/// When half the endpoints fail, each retry that fails would bring another. The budget
-/// bounds them all together: beyond the fraction a request fails at once.
+/// When half of the endpoints fail, each failed retry would cause another one. The budget limits
+/// all of them together: beyond it, a request fails at once.
 ///
 /// # Examples
 ///
@@ -58,59 +58,60 @@
 /// ```
 #[derive(Debug)]
 pub struct Budget {
-    spend: BudgetLimits,
+    limits: BudgetLimits,
     steps: VecDeque<Step>,
 }
 
 #[derive(Debug)]
 struct Step {
     start: Time,
-    firsts: u32,
+    first_attempts: u32,
     retries: u32,
 }
 
 impl Budget {
-    /// Makes a budget of which nothing is spent.
-    pub fn new(spend: BudgetLimits) -> Budget {
+    /// Creates a budget of which nothing is spent.
+    pub fn new(limits: BudgetLimits) -> Budget {
         Budget {
-            spend,
+            limits,
             steps: VecDeque::new(),
         }
     }
 
-    /// Changes how much may be spent from now on.
-    pub fn set_limits(&mut self, spend: BudgetLimits) {
-        self.spend = spend;
+    /// Changes the limits from now on.
+    pub fn set_limits(&mut self, limits: BudgetLimits) {
+        self.limits = limits;
     }
 
-    /// Counts a first try.
+    /// Counts a first attempt.
     pub fn record_first_attempt(&mut self, now: Time) {
-        self.step(now).firsts += 1;
+        self.step(now).first_attempts += 1;
     }
 
-    /// Takes one retry from the budget, if there is one left.
-    pub fn try_spend(&mut self, claim: AnswerState, now: Time) -> bool {
-        let left = self.left(claim, now) > 0;
+    /// Takes one retry from the budget, and returns whether there was one left.
+    pub fn try_spend(&mut self, answer: AnswerState, now: Time) -> bool {
+        let left = self.left(answer, now) > 0;
         if left {
             self.step(now).retries += 1;
         }
         left
     }
 
-    /// Returns how many retries are left.
-    pub fn left(&mut self, claim: AnswerState, now: Time) -> u32 {
+    /// Returns the number of retries left.
+    pub fn left(&mut self, answer: AnswerState, now: Time) -> u32 {
         self.step(now);
-        let firsts: u32 = self.steps.iter().map(|s| s.firsts).sum();
+        let first_attempts: u32 = self.steps.iter().map(|s| s.first_attempts).sum();
         let retries: u32 = self.steps.iter().map(|s| s.retries).sum();
-        let allowed = f64::from(firsts) * self.spend.fraction + self.spend.floor * WINDOW.as_secs();
-        let part = match claim {
+        let allowed =
+            f64::from(first_attempts) * self.limits.fraction + self.limits.floor * WINDOW.as_secs();
+        let factor = match answer {
             AnswerState::NotStarted => 1.0,
-            AnswerState::Started => 1.0 + self.spend.reserve,
+            AnswerState::Started => 1.0 + self.limits.reserve,
         };
-        ((allowed * part) as u32).saturating_sub(retries)
+        ((allowed * factor) as u32).saturating_sub(retries)
     }
 
-    /// Returns the present step, after dropping those that left the window.
+    /// Returns the current step, after dropping those that have left the window.
     fn step(&mut self, now: Time) -> &mut Step {
         while self
             .steps
@@ -119,11 +120,14 @@
         {
             self.steps.pop_front();
         }
-        let fresh = self.steps.back().is_none_or(|s| now.since(s.start) >= STEP);
-        if fresh {
+        let is_over = self
+            .steps
+            .back()
+            .is_none_or(|s| now.since(s.start) >= STEP_LENGTH);
+        if is_over {
             self.steps.push_back(Step {
                 start: now,
-                firsts: 0,
+                first_attempts: 0,
                 retries: 0,
             });
         }
--- a/crates/policy/src/retry/mod.rs
+++ b/crates/policy/src/retry/mod.rs
@@ -1,4 +1,4 @@
-//! How many retries may be spent.
+//! The retry budget.
 
 mod budget;
 
