--- a/crates/policy/src/actives/choice.rs
+++ b/crates/policy/src/actives/choice.rs
@@ -1,4 +1,4 @@
-//! The choice of active routers among those that are there.
+//! The choice of active routers among the live ones.
 
 use {
     crate::{
@@ -12,28 +12,28 @@
     },
 };
 
-/// Most routers that are active, as many as an answer to a caller names.
-const MOST: usize = 64;
-/// The key by which routers of one availability zone and size are put in order.
-const KEY: &str = "active";
+/// Maximum number of active routers, which is also the number that a response to a caller lists.
+const ACTIVE_MAX: usize = 64;
+/// The key that orders routers of the same availability zone and size.
+const RANKING_KEY: &str = "active";
 
-/// A router that can be active.
+/// A router that can become active.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
     /// Its name.
     pub name: RouterId,
     /// Its availability zone.
     pub zone: Zone,
-    /// The processor time that it has, in cores.
+    /// Its processor time, in cores.
     pub processor: f64,
 }
 
-/// Returns the routers that are to be active: at least so many, and as many as have the processor
-/// time that is needed.
+/// Returns the routers that should be active: at least `least` of them, and as many as provide the
+/// processor time `need`.
 ///
-/// They are taken from each availability zone in turn, so that a zone that is lost takes no more
-/// than its part with it, and those with most processor time go first. Whoever comes or goes
-/// changes the place of few others.
+/// They are taken from each availability zone in turn, so that losing a zone loses no more than its
+/// part of them, and those with most processor time go first. A router that joins or leaves changes
+/// the role of few others.
 ///
 /// # Examples
 ///
@@ -57,16 +57,16 @@
 /// assert_eq!(choose(&all, 2, 0.65).len(), 3);
 /// ```
 pub fn choose(members: &[Member], least: usize, need: f64) -> Vec<RouterId> {
-    let mut zones = in_order(members);
-    let (mut chosen, mut has) = (Vec::new(), 0.0);
+    let mut zones = ranked_by_zone(members);
+    let (mut chosen, mut total) = (Vec::new(), 0.0);
     while !zones.is_empty() {
         for zone in &mut zones {
-            let enough = chosen.len() >= least && has >= need;
-            if enough || chosen.len() >= MOST {
+            let enough = chosen.len() >= least && total >= need;
+            if enough || chosen.len() >= ACTIVE_MAX {
                 return chosen;
             }
             if let Some(member) = zone.pop() {
-                has += member.processor;
+                total += member.processor;
                 chosen.push(member.name.clone());
             }
         }
@@ -75,8 +75,8 @@
     chosen
 }
 
-/// Returns the members of each availability zone, the first to be chosen last.
-fn in_order(members: &[Member]) -> Vec<Vec<&Member>> {
+/// Returns the members of each availability zone, the first choice last.
+fn ranked_by_zone(members: &[Member]) -> Vec<Vec<&Member>> {
     let mut zones: BTreeMap<&Zone, Vec<&Member>> = BTreeMap::new();
     for member in members {
         zones.entry(&member.zone).or_default().push(member);
@@ -84,9 +84,9 @@
     let mut zones: Vec<Vec<&Member>> = zones.into_values().collect();
     for zone in &mut zones {
         zone.sort_by_cached_key(|m| {
-            // Hundredths of a core, as whole numbers can be put in order.
+            // In hundredths of a core, since integers have a total order.
             let processor = (m.processor * 100.0).round() as u64;
-            let drawn = rendezvous::score(KEY, m.name.as_str());
+            let drawn = rendezvous::score(RANKING_KEY, m.name.as_str());
             (processor, drawn, Reverse(m.name.clone()))
         });
     }
--- a/crates/policy/src/actives/contacts.rs
+++ b/crates/policy/src/actives/contacts.rs
@@ -1,4 +1,4 @@
-//! At which addresses there may be other routers, and when each was last told something.
+//! Addresses at which there may be other routers, and when each one was last sent a message.
 
 use {
     crate::{
@@ -12,61 +12,62 @@
     xxhash_rust::xxh3::Xxh3, //
 };
 
-/// An address at which nobody was heard, and that nobody lists, is forgotten after this time:
-/// three rounds among those that stand by, of 295 routers.
-const FORGET: Span = Span::secs(90);
-/// Addresses that are greeted for the first time in one step at the most. A fleet of 295 that
-/// starts as one greets each other within 1.5 s, by this figure.
-const NEW: usize = 20;
-/// Addresses that are told again in one step at the most, where all were told in the same moment.
-const AT_ONCE: usize = 30;
+/// An address that is neither listed nor the source of messages is dropped after this time: three
+/// rounds of the standbys of a fleet of 295.
+const FORGET_AFTER: Span = Span::secs(90);
+/// Maximum number of addresses that get their first message in one step. With it, a fleet of 295
+/// routers that start at once have all contacted each other within 1.5 s.
+const FIRST_PER_STEP: usize = 20;
+/// Maximum number of addresses that get a repeated message in one step, for when all of them got
+/// the last one at the same moment.
+const REPEATED_PER_STEP: usize = 30;
 
 /// The addresses of other routers.
 #[derive(Debug)]
 pub(super) struct Contacts {
-    /// Who tells, so that each tells the others in an order of its own.
-    own: SocketAddr,
+    /// This router's address, from which its own order of the others is derived.
+    local: SocketAddr,
     all: BTreeMap<SocketAddr, Contact>,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Contact {
     listed: Time,
-    told: Option<Time>,
-    /// After how long it was told to expect the next word.
+    sent: Option<Time>,
+    /// The interval until the next message that the last one announced.
     promised: Span,
-    /// How far into a round it is told, from 0 to 1.
+    /// Offset of its message within a round, from 0 to 1.
     phase: f64,
 }
 
 impl Contact {
-    /// Returns in which round a moment is.
+    /// Returns the number of the round at a moment.
     ///
-    /// Rounds begin at another moment for each pair of routers. Those that start together would
-    /// greet the others in the same order: one that stands by would hear all active ones in the
-    /// same moment, and then nobody for three seconds.
+    /// Rounds begin at a different moment for each pair of routers. Otherwise routers that start
+    /// together would send to the others in the same order: a standby would get the messages of all
+    /// active routers at the same moment, and then none for three seconds.
     fn round(&self, length: Span, at: Time) -> u64 {
         (at.since(Time(0)).as_secs() / length.as_secs() + self.phase) as u64
     }
 }
 
 impl Contacts {
-    pub(super) fn new(own: SocketAddr) -> Contacts {
+    pub(super) fn new(local: SocketAddr) -> Contacts {
         Contacts {
-            own,
+            local,
             all: BTreeMap::new(),
         }
     }
 
-    /// Notes that somebody lists a router at an address, or that it was heard from there.
-    pub(super) fn list(&mut self, addr: SocketAddr, now: Time) {
+    /// Records that a router is listed at an address, or that a message came from there.
+    pub(super) fn add(&mut self, addr: SocketAddr, now: Time) {
         if let Some(known) = self.all.get_mut(&addr) {
             known.listed = now;
             return;
         }
         let new = Contact {
             listed: now,
-            told: None,
+            sent: None,
             promised: Span::ZERO,
             phase: self.phase(addr),
         };
@@ -81,70 +82,84 @@
         self.all.keys().copied()
     }
 
-    /// Drops what is long out of date.
+    /// Drops addresses that are long out of date.
     pub(super) fn forget(&mut self, now: Time) {
-        self.all.retain(|_, c| now.since(c.listed) < FORGET);
+        self.all.retain(|_, c| now.since(c.listed) < FORGET_AFTER);
     }
 
-    /// Returns whom to tell now, so that each is told once in the round that `round` gives for it.
-    pub(super) fn due(&mut self, round: impl Fn(SocketAddr) -> Span, now: Time) -> Vec<SocketAddr> {
-        let mut due = self.new_ones();
-        let late = self.late(&round, now);
-        let late = late.into_iter().take(AT_ONCE);
-        due.extend(late.map(|(_, addr)| addr));
+    /// Returns the addresses that should get a message now, each once in a round whose length
+    /// `round` returns.
+    pub(super) fn due(
+        &mut self,
+        interval: impl Fn(SocketAddr) -> Span,
+        now: Time,
+    ) -> Vec<SocketAddr> {
+        let mut due = self.new_addresses();
+        let overdue = self.overdue(&interval, now);
+        let overdue = overdue.into_iter().take(REPEATED_PER_STEP);
+        due.extend(overdue.map(|(_, addr)| addr));
         for addr in &due {
-            self.tell(*addr, round(*addr), now);
+            self.record_sent(*addr, interval(*addr), now);
         }
         due
     }
 
-    /// Returns some of those who were not greeted yet. Each router greets the others in an order of
-    /// its own: in that of addresses all would greet the same twenty in the same moment.
-    fn new_ones(&self) -> Vec<SocketAddr> {
-        let new = self.all.iter().filter(|(_, c)| c.told.is_none());
+    /// Returns some addresses that have not been sent anything yet. Each router has its own order
+    /// of the others: ordered by address, all routers would contact the same twenty at the same
+    /// moment.
+    fn new_addresses(&self) -> Vec<SocketAddr> {
+        let new = self.all.iter().filter(|(_, c)| c.sent.is_none());
         let mut new: Vec<(f64, SocketAddr)> = new.map(|(addr, c)| (c.phase, *addr)).collect();
         new.sort_unstable_by(|a, b| a.0.total_cmp(&b.0));
-        new.into_iter().take(NEW).map(|(_, addr)| addr).collect()
+        new.into_iter()
+            .take(FIRST_PER_STEP)
+            .map(|(_, addr)| addr)
+            .collect()
     }
 
-    /// Returns how far into its rounds this router tells somebody.
+    /// Returns the offset of an address within the rounds.
     fn phase(&self, addr: SocketAddr) -> f64 {
         let mut hash = Xxh3::new();
-        for addr in [self.own, addr] {
+        for addr in [self.local, addr] {
             hash.update(addr.to_string().as_bytes());
         }
         hash.digest() as f64 / u64::MAX as f64
     }
 
-    /// Returns all, to tell them at once.
-    pub(super) fn all(&mut self, round: impl Fn(SocketAddr) -> Span, now: Time) -> Vec<SocketAddr> {
+    /// Returns all addresses, to send to them at once.
+    pub(super) fn all(
+        &mut self,
+        interval: impl Fn(SocketAddr) -> Span,
+        now: Time,
+    ) -> Vec<SocketAddr> {
         let all: Vec<SocketAddr> = self.addresses().collect();
         for addr in &all {
-            self.tell(*addr, round(*addr), now);
+            self.record_sent(*addr, interval(*addr), now);
         }
         all
     }
 
-    /// Returns those who are to be told again, the longest ago first.
+    /// Returns the addresses that should get another message, those with the oldest one first.
     ///
-    /// Either their round begins, or they were told to expect a word by now: one that no longer is
-    /// told many times a second would take this router for gone until its round begins, choose
-    /// another in its place, and be taken for gone itself by those whom it no longer tells.
-    fn late(&self, round: impl Fn(SocketAddr) -> Span, now: Time) -> Vec<(Time, SocketAddr)> {
-        let late = self.all.iter().filter_map(|(addr, c)| {
-            let (at, round) = (c.told?, round(*addr));
-            let begins = c.round(round, at) < c.round(round, now);
+    /// Either a round begins for them, or the announced next message is due. A router that no
+    /// longer gets frequent messages would otherwise consider this one dead until its round begins
+    /// and choose a replacement, and would be considered dead itself by those that it stops sending
+    /// to.
+    fn overdue(&self, interval: impl Fn(SocketAddr) -> Span, now: Time) -> Vec<(Time, SocketAddr)> {
+        let overdue = self.all.iter().filter_map(|(addr, c)| {
+            let (at, interval) = (c.sent?, interval(*addr));
+            let begins = c.round(interval, at) < c.round(interval, now);
             (begins || now.since(at) >= c.promised).then_some((at, *addr))
         });
-        let mut late: Vec<_> = late.collect();
-        late.sort_unstable();
-        late
+        let mut overdue: Vec<_> = overdue.collect();
+        overdue.sort_unstable();
+        overdue
     }
 
-    /// Notes that somebody is told something, and the next word after `next`.
-    pub(super) fn tell(&mut self, addr: SocketAddr, next: Span, now: Time) {
+    /// Records that a message is sent to an address, the next one after `next`.
+    pub(super) fn record_sent(&mut self, addr: SocketAddr, next: Span, now: Time) {
         if let Some(contact) = self.all.get_mut(&addr) {
-            contact.told = Some(now);
+            contact.sent = Some(now);
             contact.promised = next;
         }
     }
--- a/crates/policy/src/actives/mod.rs
+++ b/crates/policy/src/actives/mod.rs
@@ -1,19 +1,21 @@
-//! Which routers take callers, and who of the others is there.
+//! Active routers, and which other routers are alive.
 //!
-//! A router decides well if it knows what the others sent a moment ago. If each of hundreds tells
-//! each other, either the words take all of the processor and the links, or they come seconds
-//! late. So callers are pointed to a few routers, the active ones, as many as the load needs; these
-//! tell each other many times a second. The others stand by: they serve whoever comes, know the
-//! configuration, the replicas and who is there, and take an active one's place when it is gone.
+//! A router decides well if it knows what the others have sent until a moment ago. If hundreds of
+//! routers exchange this with each other, either the messages take up the processors and links, or
+//! they arrive seconds late. So callers are directed to a few active routers, as many as the load
+//! needs, which exchange messages many times a second. The others are standbys: they serve any
+//! caller, know the configuration, the replicas and the other routers, and replace an active router
+//! that fails.
 //!
-//! Nobody elects the active ones. Each router works them out from whom it hears, and routers that
-//! hear the same get the same. Where two disagree for a while, some more routers take callers.
+//! There is no election. Each router computes the active set from the routers that it receives
+//! messages from, and routers with the same view compute the same set. While two of them disagree,
+//! a few more routers serve callers.
 
 mod choice;
 mod contacts;
-mod due;
 mod peer;
 mod rate;
+mod recipients;
 mod set;
 mod table;
 
@@ -22,16 +24,16 @@
         choose,
         Member, //
     },
-    due::{
-        Recipients,
-        HELLO_EVERY, //
-    },
     peer::{
         router_key,
         HelloKind,
         Peer, //
         RouterInfo,
     },
+    recipients::{
+        Recipients,
+        HELLO_EVERY, //
+    },
     table::{
         Actives,
         LoadFlags, //
--- a/crates/policy/src/actives/peer.rs
+++ b/crates/policy/src/actives/peer.rs
@@ -1,4 +1,4 @@
-//! What is known of one other router.
+//! The state of one other router.
 
 use {
     crate::{
@@ -16,113 +16,118 @@
     xxhash_rust::xxh3::xxh3_64, //
 };
 
-/// A router counts as there for this long at least after it was heard. Callers that are sent to
-/// one that is down lose a second each.
-const LEAST: Span = Span::millis(1_000);
-/// The rate that a router told counts for this long: an active one of 370 tells each other one its
-/// rate every 4 s.
-const RATE_KNOWN: Span = Span::millis(4_500);
-/// And for so many times between two of its words, as some are lost.
-const MISSED: f64 = 3.3;
-/// An active router that is silent for this long has lost its place, whatever it said of its
-/// next word. One that is new in its place hears so from others' words within 0.2 s.
-pub(super) const SILENT: Span = Span::millis(1_000);
+/// A router is considered alive for at least this long after a message from it. Each caller that is
+/// sent to a dead router loses a second.
+const LIVE_SPAN_MIN: Span = Span::millis(1_000);
+/// How long a reported request rate is valid: an active router in a fleet of 370 reports its rate
+/// to each of the others every 4 s.
+const RATE_VALIDITY: Span = Span::millis(4_500);
+/// Number of message intervals without a message after which a router is not alive, since some
+/// messages are lost.
+const INTERVALS_MAX: f64 = 3.3;
+/// An active router that is silent for this long loses its role, no matter which interval it
+/// announced. A router that becomes active learns of this from messages of others within 0.2 s.
+pub(super) const SILENCE_LIMIT: Span = Span::millis(1_000);
 
-/// Who a router is, as it tells the others.
+/// What a router reports about itself.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RouterInfo {
-    /// This start of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Where it hears the others.
+    /// Its address for messages of other routers.
     pub peers: SocketAddr,
-    /// Where it takes callers.
+    /// Its address for callers.
     pub callers: SocketAddr,
     /// Its availability zone.
     pub zone: Zone,
-    /// The processor time that it has, in cores.
+    /// Its processor time, in cores.
     pub processor: f32,
-    /// Whether callers may be sent there.
+    /// Whether callers may be sent to it.
     pub ready: bool,
 }
 
-/// Returns the short name of a router's start, 4 bytes in place of about 25.
+/// Returns a 32-bit key of a router's incarnation: 4 bytes instead of about 25.
 pub fn router_key(name: &RouterId, incarnation: Incarnation) -> u32 {
     (xxh3_64(name.as_str().as_bytes()) ^ incarnation.0) as u32
 }
 
-/// What a word of another router was.
+/// The kind of a received hello.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HelloKind {
-    /// Older than what is known.
+    /// Older than one that was received before.
     Stale,
-    /// The first of this start of it.
+    /// The first one of this incarnation.
     First,
     /// A later one.
     Later,
 }
 
-/// Another router, as it was last heard.
+/// Another router, as of its last message.
 #[derive(Debug, Clone)]
 pub struct Peer {
-    /// Who it is.
+    /// What it reported about itself.
     pub intro: RouterInfo,
-    /// Requests a second that it takes.
+    /// Its requests per second.
     pub(super) rate: f64,
-    /// When it last told that.
-    pub(super) introduced: Time,
-    /// Number of its last introduction, and of its last word on its loads.
-    pub(super) hello: u32,
-    pub(super) loads: u32,
-    /// When it last told its loads and had many requests.
+    /// When it last reported the rate.
+    pub(super) rate_reported: Time,
+    /// Numbers of its last hello and of its last load message.
+    pub(super) hello_number: u32,
+    pub(super) loads_number: u32,
+    /// When it last sent a load message that shows many requests.
     pub(super) busy: Option<Time>,
-    /// When it last told its loads to this router as one active router to another.
+    /// When it last sent a load message to this router as one active router to another.
     pub(super) addressed: Option<Time>,
-    /// When it was last heard, and how much later its next word was to come.
-    pub(super) heard: Time,
+    /// When its last message arrived, and the interval until the next one that it announced.
+    pub(super) last_received: Time,
     pub(super) next: Span,
     /// Since when it is active.
     pub(super) active: Option<Time>,
-    /// It was active, and was silent for too long; cleared when it is heard.
+    /// It was active and fell silent; cleared when a message from it arrives.
     pub(super) silent: Option<Silence>,
 }
 
-/// How it is known that a router is silent.
+/// How a router is known to be silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Silence {
-    /// This router heard nothing.
-    Seen,
-    /// Another one said so. It is not passed on: two routers that believe each other would go on
-    /// telling of one that speaks to both every few seconds.
-    Told,
+    /// This router received nothing from it.
+    Observed,
+    /// Another router reported it. Such reports are not passed on: two routers that believe each
+    /// other would continue to report one that sends to both of them only every few seconds.
+    Reported,
 }
 
 impl Peer {
-    /// Tells whether it is there.
+    /// Returns whether it is alive.
     pub(super) fn is_live(&self, now: Time) -> bool {
-        self.silent.is_none() && now.since(self.heard) < LEAST.max(self.next * MISSED)
+        self.silent.is_none()
+            && now.since(self.last_received) < LIVE_SPAN_MIN.max(self.next * INTERVALS_MAX)
     }
 
-    /// Tells whether it has been active and silent for too long.
-    pub(super) fn lost_place(&self, now: Time) -> bool {
-        let since = self.active.map(|at| now.since(at.max(self.heard)));
-        since.is_some_and(|span| span >= SILENT)
+    /// Returns whether it has been active and silent for too long.
+    pub(super) fn fell_silent(&self, now: Time) -> bool {
+        let since = self.active.map(|at| now.since(at.max(self.last_received)));
+        since.is_some_and(|span| span >= SILENCE_LIMIT)
     }
 
-    /// Tells whether another said that it is silent, and this router, which it told its loads many
-    /// times a second, does not hear it either.
-    pub(super) fn is_silent_here(&self, now: Time) -> bool {
-        let was_near = self.next < SILENT;
-        self.silent == Some(Silence::Told) && was_near && now.since(self.heard) >= SILENT
+    /// Returns whether it was reported silent and this router, which used to get its load messages
+    /// many times a second, receives nothing from it either.
+    pub(super) fn is_silent_locally(&self, now: Time) -> bool {
+        let was_frequent = self.next < SILENCE_LIMIT;
+        self.silent == Some(Silence::Reported)
+            && was_frequent
+            && now.since(self.last_received) >= SILENCE_LIMIT
     }
 
-    /// Tells whether its rate is of the last seconds. While a fleet starts each router takes many
-    /// callers; with what those told then that tell nothing now, all were taken to be needed.
+    /// Returns whether its rate was reported within the last seconds. Each router takes many
+    /// callers while a fleet starts, and rates from that time, of routers that report none any
+    /// more, would make all routers active.
     pub(super) fn is_rate_known(&self, now: Time) -> bool {
-        now.since(self.introduced) < RATE_KNOWN
+        now.since(self.rate_reported) < RATE_VALIDITY
     }
 
-    /// Tells whether it was heard a moment ago, whatever others say.
-    pub(super) fn just_heard(&self, now: Time) -> bool {
-        now.since(self.heard) < LEAST
+    /// Returns whether a message from it arrived a moment ago, no matter what others report.
+    pub(super) fn was_just_received(&self, now: Time) -> bool {
+        now.since(self.last_received) < LIVE_SPAN_MIN
     }
 }
--- a/crates/policy/src/actives/rate.rs
+++ b/crates/policy/src/actives/rate.rs
@@ -1,15 +1,15 @@
-//! How many requests a second a router takes.
+//! The request rate of a router.
 
 use crate::{
     Span,
     Time, //
 };
 
-/// Time over which requests are counted. Active routers change where it does, and with them the
-/// connections of their callers.
-const OVER: Span = Span::secs(2);
+/// Span over which requests are averaged. The set of active routers changes with the rate, and with
+/// it the connections of their callers.
+const AVERAGING_SPAN: Span = Span::secs(2);
 
-/// Requests a second, as a mean that forgets.
+/// Requests per second, as a moving average.
 #[derive(Debug, Default)]
 pub(super) struct Rate {
     counted: u32,
@@ -22,14 +22,14 @@
         self.counted += 1;
     }
 
-    /// Works the mean out anew, at most every half second.
+    /// Updates the average, at most every half second.
     pub(super) fn refresh(&mut self, now: Time) {
         let passed = now.since(self.since);
-        if passed < OVER * 0.25 {
+        if passed < AVERAGING_SPAN * 0.25 {
             return;
         }
         let sample = f64::from(self.counted) / passed.as_secs();
-        let weight = (passed.as_secs() / OVER.as_secs()).min(1.0);
+        let weight = (passed.as_secs() / AVERAGING_SPAN.as_secs()).min(1.0);
         self.mean += (sample - self.mean) * weight;
         self.counted = 0;
         self.since = now;
--- a/crates/policy/src/actives/recipients.rs
+++ b/crates/policy/src/actives/recipients.rs
@@ -1,4 +1,4 @@
-//! Whom a router tells something, and how often.
+//! The receivers of a router's messages, and the intervals between them.
 
 use {
     super::{
@@ -17,80 +17,84 @@
     },
 };
 
-/// A router introduces itself with every third message on its loads.
+/// A hello accompanies every third load message.
 pub const HELLO_EVERY: u32 = 3;
 /// Active routers that send summaries to each busy standby, so that it can lose one of them.
 const RELAYS: usize = 2;
-/// Time between two words of active routers, for each that is active, so that one of 64 sends
-/// no more than 200 words a second.
-const NEAR: Span = Span::millis(5);
-/// Time in which an active router tells each other one that it is there, and each other one tells
-/// the active ones so, for each router that there is, and the least of it. An active router of 370
-/// sends 100 words of some 150 bytes a second.
-const FAR: Span = Span::millis(10);
-const FAR_LEAST: Span = Span::millis(300);
-/// Those that stand by tell each other so many times as seldom: 10 messages a second at 300.
-const STAND_BY: f64 = 10.0;
-/// A router that was told others' loads in this time speaks to the active ones like one of them.
-const ADDRESSED: Span = Span::millis(700);
-/// A router that knows fewer others asks for the addresses of more.
-const FEW: usize = 40;
-
-/// Whom a router is to tell something now.
+/// Interval between two messages of active routers, per active router, so that one of 64 sends no
+/// more than 200 messages per second.
+const ACTIVE_INTERVAL: Span = Span::millis(5);
+/// Interval between two hellos of an active router to each other router, and of each standby to the
+/// active ones, per known router, and its minimum. In a fleet of 370, an active router sends 100
+/// messages of about 150 bytes per second.
+const HELLO_INTERVAL: Span = Span::millis(10);
+const HELLO_INTERVAL_MIN: Span = Span::millis(300);
+/// Factor of the hello interval between two standbys: 10 messages per second in a fleet of 300.
+const STANDBY_FACTOR: f64 = 10.0;
+/// A router that was sent load messages as an active one within this time acts as an active one.
+const ADDRESSED_SPAN: Span = Span::millis(700);
+/// A router that knows fewer peers asks for more addresses.
+const KNOWN_PEERS_MIN: usize = 40;
+
+/// The receivers of a router's messages at one moment.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Recipients {
-    /// The active ones, and the time until they hear from this router again.
+    /// The active routers, and the time until the next message to them.
     pub active_peers: Vec<SocketAddr>,
     /// See [`Recipients::active_peers`].
     pub active_next: Span,
-    /// Routers that act as active ones, though this one takes them for standbys. They get its loads.
+    /// Routers that act as active ones, though this one considers them standbys. They get its load
+    /// messages.
     pub addressed: Vec<SocketAddr>,
-    /// Standbys with many requests, which get its introductions, and the time between two of these.
+    /// Standbys with many requests, which get its hellos, and the time until the next of these.
     pub busy_standbys: Vec<SocketAddr>,
     /// See [`Recipients::busy_standbys`].
     pub busy_next: Span,
-    /// Those of them that get their summaries from this router.
+    /// Those of the busy standbys that get their summaries from this router.
     pub relayed: Vec<(RouterId, SocketAddr)>,
-    /// Others, whom it only tells that it is there.
+    /// Other routers, which get hellos only.
     pub remote: Vec<SocketAddr>,
-    /// Time until these hear from this router again.
+    /// Time until the next hello to these.
     pub remote_next: Span,
-    /// Others that stand by as this one does.
+    /// Other standbys, if this router is a standby.
     pub standbys: Vec<SocketAddr>,
-    /// Time until these hear from this router again.
+    /// Time until the next hello to these.
     pub standbys_next: Span,
 }
 
 impl Actives {
-    /// Returns the time between two words of active routers.
+    /// Returns the interval between two messages to active routers.
     pub fn gossip_interval(&self) -> Span {
-        self.beat.max(NEAR * self.active_count() as f64)
+        self.heartbeat
+            .max(ACTIVE_INTERVAL * self.active_count() as f64)
     }
 
-    /// Tells whether this router knows so few others that it asks for more.
+    /// Returns whether this router knows so few others that it asks for more addresses.
     pub fn needs_addresses(&self) -> bool {
-        self.peers.len() < FEW
+        self.peers.len() < KNOWN_PEERS_MIN
     }
 
-    /// Returns the time in which an active router tells each other one that it is there.
+    /// Returns the interval between two hellos to each other router.
     pub fn hello_interval(&self) -> Span {
-        FAR_LEAST.max(FAR * self.contacts.len() as f64)
+        HELLO_INTERVAL_MIN.max(HELLO_INTERVAL * self.contacts.len() as f64)
     }
 
-    /// Returns whether this router is active, by its own view or by another router's.
+    /// Returns whether this router is active, according to itself or to another router.
     pub fn acts_active(&self, now: Time) -> bool {
         self.is_active() || self.is_addressed(now)
     }
 
-    /// Tells whether others take this router for active, whatever it takes itself for.
+    /// Returns whether others consider this router active, no matter what it considers itself.
     ///
-    /// One that stands by hears others every few seconds. Where it missed that an active one is gone,
-    /// those that chose it in its place heard nothing of it, and chose the next one, and so on.
+    /// A standby gets messages from the others only every few seconds. If it missed that an active
+    /// router failed, the routers that chose it as the replacement would get no messages from it,
+    /// choose the next one, and so on.
     fn is_addressed(&self, now: Time) -> bool {
-        self.addressed.is_some_and(|at| now.since(at) < ADDRESSED)
+        self.addressed
+            .is_some_and(|at| now.since(at) < ADDRESSED_SPAN)
     }
 
-    /// Returns the routers that act as active ones, though this one takes them for standbys.
+    /// Returns the routers that act as active ones, though this one considers them standbys.
     fn addressing(&self, now: Time) -> impl Iterator<Item = &Peer> {
         let peers = self.peers.values().filter(|p| p.active.is_none());
         peers.filter(move |p| is_recent(p.addressed, now))
@@ -98,9 +102,9 @@
 
     /// Returns the standbys that have many requests.
     ///
-    /// Callers of a large workspace may all connect to one router, whatever addresses they are
-    /// given. Without others' loads it would send half of all requests to engines that it takes for
-    /// idle.
+    /// All callers of a large workspace may connect to one router, no matter which addresses they
+    /// are given. Without the load of the others, it would send half of all requests to engines
+    /// that it considers idle.
     pub(super) fn busy_standbys(&self, now: Time) -> impl Iterator<Item = (&RouterId, &Peer)> {
         let peers = self.peers.iter().filter(|(_, p)| p.active.is_none());
         peers.filter(move |(_, p)| is_recent(p.busy, now) && !is_recent(p.addressed, now))
@@ -108,47 +112,49 @@
 
     /// Returns whether this router sends summaries to another one.
     ///
-    /// Standbys don't exchange loads among themselves, since the number of messages would grow with
-    /// their number squared. Only active routers get the loads of all.
+    /// Standbys don't exchange load messages among themselves, since the number of messages would
+    /// grow with the square of their number. Only active routers get the load of all.
     fn relays_to(&self, other: &RouterId) -> bool {
         let score = |name: &RouterId| rendezvous::score(other.as_str(), name.as_str());
-        let own = score(&self.name);
-        let before = self.active.iter().filter(|name| score(name) > own);
+        let local = score(&self.name);
+        let before = self.active.iter().filter(|name| score(name) > local);
         self.is_active() && before.take(RELAYS).count() < RELAYS
     }
 
-    /// Returns whom to tell something now; `busy` says that this router has requests at replicas,
-    /// which the active ones are to know of, and `urgent` that all are to be told.
+    /// Returns the receivers of messages that are due now. `busy` means that this router has
+    /// requests at replicas, which the active routers must know of, and `urgent` that all routers
+    /// get a message.
     pub fn due(&mut self, busy: bool, urgent: bool, now: Time) -> Recipients {
         self.refresh(now);
-        let mut due = match self.acts_active(now) || busy {
-            true => self.due_often(now),
+        let mut recipients = match self.acts_active(now) || busy {
+            true => self.frequent_recipients(now),
             false => Recipients::default(),
         };
-        due.active_next = self.gossip_interval();
-        due.busy_next = due.active_next * f64::from(HELLO_EVERY);
-        for addr in due.active_peers.iter().chain(&due.addressed) {
-            self.contacts.tell(*addr, due.active_next, now);
+        recipients.active_next = self.gossip_interval();
+        recipients.busy_next = recipients.active_next * f64::from(HELLO_EVERY);
+        for addr in recipients.active_peers.iter().chain(&recipients.addressed) {
+            self.contacts
+                .record_sent(*addr, recipients.active_next, now);
         }
-        for addr in &due.busy_standbys {
-            self.contacts.tell(*addr, due.busy_next, now);
+        for addr in &recipients.busy_standbys {
+            self.contacts.record_sent(*addr, recipients.busy_next, now);
         }
-        self.due_seldom(&mut due, urgent, now);
-        due
+        self.add_hello_recipients(&mut recipients, urgent, now);
+        recipients
     }
 
     /// Returns the receivers of frequent messages.
-    fn due_often(&self, now: Time) -> Recipients {
-        let near = self.active().map(|(_, p)| p.intro.peers);
+    fn frequent_recipients(&self, now: Time) -> Recipients {
+        let active_peers = self.active().map(|(_, p)| p.intro.peers);
         let addressed = self.addressing(now).map(|p| p.intro.peers);
-        let beside = self.busy_standbys(now).map(|(_, p)| p.intro.peers);
+        let busy_standbys = self.busy_standbys(now).map(|(_, p)| p.intro.peers);
         let relayed = self
             .busy_standbys(now)
             .filter(|(name, _)| self.relays_to(name));
         Recipients {
-            active_peers: near.collect(),
+            active_peers: active_peers.collect(),
             addressed: addressed.collect(),
-            busy_standbys: beside.collect(),
+            busy_standbys: busy_standbys.collect(),
             relayed: relayed
                 .map(|(name, p)| (name.clone(), p.intro.peers))
                 .collect(),
@@ -156,35 +162,35 @@
         }
     }
 
-    /// Adds the receivers of introductions only.
-    fn due_seldom(&mut self, due: &mut Recipients, urgent: bool, now: Time) {
-        let round = self.hello_interval();
-        let often: HashSet<SocketAddr> = self.active().map(|(_, p)| p.intro.peers).collect();
+    /// Adds the receivers of hellos only.
+    fn add_hello_recipients(&mut self, recipients: &mut Recipients, urgent: bool, now: Time) {
+        let interval = self.hello_interval();
+        let frequent: HashSet<SocketAddr> = self.active().map(|(_, p)| p.intro.peers).collect();
         let is_active = self.is_active();
-        let is_often = |addr: &SocketAddr| is_active || often.contains(addr);
-        let round_of = |addr: SocketAddr| match is_often(&addr) {
-            true => round,
-            false => round * STAND_BY,
+        let is_frequent = |addr: &SocketAddr| is_active || frequent.contains(addr);
+        let interval_of = |addr: SocketAddr| match is_frequent(&addr) {
+            true => interval,
+            false => interval * STANDBY_FACTOR,
         };
         let all = match urgent {
-            true => self.contacts.all(round_of, now),
-            false => self.contacts.due(round_of, now),
+            true => self.contacts.all(interval_of, now),
+            false => self.contacts.due(interval_of, now),
         };
-        (due.remote, due.standbys) = all.into_iter().partition(is_often);
-        due.remote_next = round;
-        due.standbys_next = round * STAND_BY;
+        (recipients.remote, recipients.standbys) = all.into_iter().partition(is_frequent);
+        recipients.remote_next = interval;
+        recipients.standbys_next = interval * STANDBY_FACTOR;
     }
 
-    /// Returns some addresses of other routers, to tell one that starts.
+    /// Returns some addresses of other routers, for a router that starts.
     pub fn sample_addresses(&self, most: usize, skip: usize) -> Vec<SocketAddr> {
         let all = self.contacts.addresses().collect::<Vec<_>>();
         let from = skip % all.len().max(1);
-        let turned = all[from..].iter().chain(&all[..from]);
-        turned.take(most).copied().collect()
+        let rotated = all[from..].iter().chain(&all[..from]);
+        rotated.take(most).copied().collect()
     }
 }
 
-/// Returns whether something happened within [`ADDRESSED`].
+/// Returns whether a time is within [`ADDRESSED_SPAN`] before now.
 pub(super) fn is_recent(at: Option<Time>, now: Time) -> bool {
-    at.is_some_and(|at| now.since(at) < ADDRESSED)
+    at.is_some_and(|at| now.since(at) < ADDRESSED_SPAN)
 }
--- a/crates/policy/src/actives/table.rs
+++ b/crates/policy/src/actives/table.rs
@@ -1,4 +1,4 @@
-//! All routers that are known, and what they said last.
+//! All known routers and what they last reported.
 
 use {
     super::{
@@ -26,7 +26,7 @@
     },
 };
 
-/// The routers that are known to one of them.
+/// The other routers, as known to one of them.
 ///
 /// # Examples
 ///
@@ -54,50 +54,50 @@
 #[derive(Debug)]
 pub struct Actives {
     pub(super) name: RouterId,
-    pub(super) own: RouterInfo,
-    /// Least number of active routers, where there are as many.
+    pub(super) local: RouterInfo,
+    /// Minimum number of active routers, if there are that many.
     pub(super) least: usize,
-    /// Time between two words of active routers, where these are few.
-    pub(super) beat: Span,
+    /// Interval between two messages of active routers, if there are few of them.
+    pub(super) heartbeat: Span,
     pub(super) rate: Rate,
     pub(super) peers: BTreeMap<RouterId, Peer>,
-    /// The peers by the short names of their starts.
-    pub(super) shorts: HashMap<u32, RouterId>,
+    /// The peers by the keys of their incarnations.
+    pub(super) keys: HashMap<u32, RouterId>,
     pub(super) contacts: Contacts,
-    /// Others that are active.
+    /// Other active routers.
     pub(super) active: Vec<RouterId>,
     /// Since when this router is active.
     pub(super) active_since: Option<Time>,
-    /// When another router last told this one its loads, as to an active one.
+    /// When another router last sent its load to this one as to an active router.
     pub(super) addressed: Option<Time>,
-    /// How many routers share the retry budget, and when an active one said so.
+    /// How many routers share the retry budget, and when an active one reported it.
     pub(super) known_sharers: Option<(Time, usize)>,
     pub(super) refreshed: Option<Time>,
 }
 
-/// What a router's word on its loads says besides.
+/// The flags of a load message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default)]
 pub struct LoadFlags {
-    /// It has many requests.
+    /// The sender has many requests.
     pub busy: bool,
-    /// It takes the router that it tells for active.
+    /// The sender considers the receiver active.
     pub to_active: bool,
     /// The sender acts as an active router.
     pub from_active: bool,
 }
 
 impl Actives {
-    /// Makes the table of a router that knows nobody yet.
-    pub fn new(name: RouterId, own: RouterInfo, least: usize, beat: Span) -> Actives {
+    /// Creates the table of a router that knows no others yet.
+    pub fn new(name: RouterId, local: RouterInfo, least: usize, heartbeat: Span) -> Actives {
         Actives {
             name,
-            contacts: Contacts::new(own.peers),
-            own,
+            contacts: Contacts::new(local.peers),
+            local,
             least,
-            beat,
+            heartbeat,
             rate: Rate::default(),
             peers: BTreeMap::new(),
-            shorts: HashMap::new(),
+            keys: HashMap::new(),
             active: Vec::new(),
             active_since: None,
             addressed: None,
@@ -111,37 +111,37 @@
         &self.name
     }
 
-    /// Returns what this router tells of itself.
+    /// Returns what this router reports about itself.
     pub fn local(&self) -> &RouterInfo {
-        &self.own
+        &self.local
     }
 
     /// Sets whether callers may be sent to this router.
     pub fn set_ready(&mut self, ready: bool) {
-        if self.own.ready != ready {
-            self.own.ready = ready;
+        if self.local.ready != ready {
+            self.local.ready = ready;
             self.refreshed = None;
         }
     }
 
-    /// Counts a request that this router takes.
+    /// Counts a request to this router.
     pub fn count_request(&mut self) {
         self.rate.count();
     }
 
-    /// Returns how many requests a second this router takes.
+    /// Returns the number of requests per second at this router.
     pub fn rate(&self) -> f64 {
         self.rate.per_second()
     }
 
-    /// Notes that somebody lists a router at this address.
+    /// Records that a router is listed at this address.
     pub fn add_address(&mut self, addr: SocketAddr, now: Time) {
-        if addr != self.own.peers {
-            self.contacts.list(addr, now);
+        if addr != self.local.peers {
+            self.contacts.add(addr, now);
         }
     }
 
-    /// Takes the word of another router on who it is; its next one comes after `next`.
+    /// Processes a hello of another router; its next message arrives after `next`.
     pub fn receive_hello(
         &mut self,
         name: &RouterId,
@@ -153,8 +153,8 @@
     ) -> HelloKind {
         let known = self.peers.get(name);
         let same = known.filter(|p| p.intro.incarnation == intro.incarnation);
-        // Datagrams overtake each other. An old word would bring back what has changed.
-        if same.is_some_and(|p| number <= p.hello) {
+        // Datagrams may arrive out of order. An older one would revert what has changed.
+        if same.is_some_and(|p| number <= p.hello_number) {
             return HelloKind::Stale;
         }
         let first = same.is_none();
@@ -162,23 +162,23 @@
         let before = known.map(|p| router_key(name, p.intro.incarnation));
         let peer = Peer {
             rate,
-            introduced: now,
-            hello: number,
-            loads: same.map_or(0, |p| p.loads),
+            rate_reported: now,
+            hello_number: number,
+            loads_number: same.map_or(0, |p| p.loads_number),
             busy: same.and_then(|p| p.busy),
             addressed: same.and_then(|p| p.addressed),
-            heard: now,
+            last_received: now,
             next,
             active: same.and_then(|p| p.active),
             silent: None,
             intro,
         };
         if let Some(before) = before {
-            self.shorts.remove(&before);
+            self.keys.remove(&before);
         }
         let key = router_key(name, peer.intro.incarnation);
-        self.shorts.insert(key, name.clone());
-        self.contacts.list(peer.intro.peers, now);
+        self.keys.insert(key, name.clone());
+        self.contacts.add(peer.intro.peers, now);
         self.peers.insert(name.clone(), peer);
         if changed {
             self.refreshed = None;
@@ -189,59 +189,61 @@
         }
     }
 
-    /// Takes a router's word on its loads. Returns who it is and where it hears the others, unless
-    /// the word is old or from one that has not said who it is.
+    /// Processes a load message. Returns the sender and its address for messages, unless the
+    /// message is stale or the sender is unknown.
     pub fn receive_loads(
         &mut self,
         from: u32,
         number: u32,
         next: Span,
-        said: LoadFlags,
+        flags: LoadFlags,
         now: Time,
     ) -> Option<(RouterId, SocketAddr)> {
-        let name = self.shorts.get(&from)?;
+        let name = self.keys.get(&from)?;
         let peer = self.peers.get_mut(name)?;
-        if number <= peer.loads {
+        if number <= peer.loads_number {
             return None;
         }
-        peer.loads = number;
-        peer.heard = now;
+        peer.loads_number = number;
+        peer.last_received = now;
         peer.next = next;
         if peer.silent.take().is_some() {
             self.refreshed = None;
         }
-        if said.to_active {
+        if flags.to_active {
             self.addressed = Some(now);
         }
-        if said.to_active && said.from_active {
+        if flags.to_active && flags.from_active {
             peer.addressed = Some(now);
         }
-        if said.busy {
+        if flags.busy {
             peer.busy = Some(now);
         }
-        self.contacts.list(peer.intro.peers, now);
+        self.contacts.add(peer.intro.peers, now);
         Some((name.clone(), peer.intro.peers))
     }
 
-    /// Takes another router's word that active ones are silent. One that stands by hears each only
-    /// every few seconds, and would send callers to one that is gone for as long.
+    /// Processes another router's report that active routers are silent. A standby receives
+    /// messages from each of them only every few seconds, and would otherwise send callers to a
+    /// dead one for that long.
     pub fn receive_silent(&mut self, silent: &[u32], now: Time) {
         for key in silent {
-            let name = self.shorts.get(key);
+            let name = self.keys.get(key);
             let Some(peer) = name.and_then(|name| self.peers.get_mut(name)) else {
                 continue;
             };
-            if peer.silent.is_none() && !peer.just_heard(now) {
-                peer.silent = Some(Silence::Told);
+            if peer.silent.is_none() && !peer.was_just_received(now) {
+                peer.silent = Some(Silence::Reported);
                 self.refreshed = None;
             }
         }
     }
 
-    /// Returns the short names of those that lost their places, to tell the others.
+    /// Returns the keys of the routers that lost their role because they are silent, to report them
+    /// to the others.
     pub fn silent(&self) -> Vec<u32> {
-        let seen = |p: &Peer| p.silent == Some(Silence::Seen);
-        let silent = self.peers.iter().filter(|(_, p)| seen(p));
+        let observed = |p: &Peer| p.silent == Some(Silence::Observed);
+        let silent = self.peers.iter().filter(|(_, p)| observed(p));
         silent
             .map(|(name, p)| router_key(name, p.intro.incarnation))
             .collect()
