--- a/crates/gateway/src/serve/addresses.rs
+++ b/crates/gateway/src/serve/addresses.rs
@@ -51,11 +51,7 @@
     let mut tables = gw.tables();
     tables.fleet.set_ready(ready);
     tables.fleet.refresh(now);
-    let mut all: Vec<SocketAddr> = tables
-        .fleet
-        .active()
-        .map(|(_, p)| p.intro.callers)
-        .collect();
+    let mut all: Vec<SocketAddr> = tables.fleet.active().map(|(_, p)| p.info.callers).collect();
     if ready && (tables.fleet.is_active() || all.is_empty()) {
         all.push(gw.settings.listen.callers);
     }
--- a/crates/policy/src/actives/peer.rs
+++ b/crates/policy/src/actives/peer.rs
@@ -66,7 +66,7 @@
 #[derive(Debug, Clone)]
 pub struct Peer {
     /// What it reported about itself.
-    pub intro: RouterInfo,
+    pub info: RouterInfo,
     /// Its requests per second.
     pub(super) rate: f64,
     /// When it last reported the rate.
--- a/crates/policy/src/actives/recipients.rs
+++ b/crates/policy/src/actives/recipients.rs
@@ -145,9 +145,9 @@
 
     /// Returns the receivers of frequent messages.
     fn frequent_recipients(&self, now: Time) -> Recipients {
-        let active_peers = self.active().map(|(_, p)| p.intro.peers);
-        let addressed = self.addressing(now).map(|p| p.intro.peers);
-        let busy_standbys = self.busy_standbys(now).map(|(_, p)| p.intro.peers);
+        let active_peers = self.active().map(|(_, p)| p.info.peers);
+        let addressed = self.addressing(now).map(|p| p.info.peers);
+        let busy_standbys = self.busy_standbys(now).map(|(_, p)| p.info.peers);
         let relayed = self
             .busy_standbys(now)
             .filter(|(name, _)| self.relays_to(name));
@@ -156,7 +156,7 @@
             addressed: addressed.collect(),
             busy_standbys: busy_standbys.collect(),
             relayed: relayed
-                .map(|(name, p)| (name.clone(), p.intro.peers))
+                .map(|(name, p)| (name.clone(), p.info.peers))
                 .collect(),
             ..Recipients::default()
         }
@@ -165,7 +165,7 @@
     /// Adds the receivers of hellos only.
     fn add_hello_recipients(&mut self, recipients: &mut Recipients, urgent: bool, now: Time) {
         let interval = self.hello_interval();
-        let frequent: HashSet<SocketAddr> = self.active().map(|(_, p)| p.intro.peers).collect();
+        let frequent: HashSet<SocketAddr> = self.active().map(|(_, p)| p.info.peers).collect();
         let is_active = self.is_active();
         let is_frequent = |addr: &SocketAddr| is_active || frequent.contains(addr);
         let interval_of = |addr: SocketAddr| match is_frequent(&addr) {
--- a/crates/policy/src/actives/set.rs
+++ b/crates/policy/src/actives/set.rs
@@ -91,7 +91,7 @@
         self.peers.retain(|name, p| {
             let keep = now.since(p.last_received) < FORGET_AFTER.max(p.next * 4.0);
             if !keep {
-                keys.remove(&router_key(name, p.intro.incarnation));
+                keys.remove(&router_key(name, p.info.incarnation));
             }
             keep
         });
@@ -100,15 +100,15 @@
 
     /// Returns the routers that can be active.
     fn members(&self, now: Time) -> Vec<Member> {
-        let member = |name: &RouterId, intro: &RouterInfo| Member {
+        let member = |name: &RouterId, info: &RouterInfo| Member {
             name: name.clone(),
-            zone: intro.zone.clone(),
-            processor: f64::from(intro.processor),
+            zone: info.zone.clone(),
+            processor: f64::from(info.processor),
         };
         let local = self.local.ready.then(|| member(&self.name, &self.local));
         let peers = self.peers.iter();
-        let candidates = peers.filter(|(_, p)| p.intro.ready && p.is_live(now));
-        let candidates = candidates.map(|(name, p)| member(name, &p.intro));
+        let candidates = peers.filter(|(_, p)| p.info.ready && p.is_live(now));
+        let candidates = candidates.map(|(name, p)| member(name, &p.info));
         local.into_iter().chain(candidates).collect()
     }
 
--- a/crates/policy/src/actives/table.rs
+++ b/crates/policy/src/actives/table.rs
@@ -33,7 +33,7 @@
 /// ```
 /// use policy::{actives::{Actives, RouterInfo}, Incarnation, Span, Time};
 ///
-/// let intro = |port| RouterInfo {
+/// let info = |port| RouterInfo {
 ///     incarnation: Incarnation(1),
 ///     peers: ([127, 0, 0, 1], port).into(),
 ///     callers: ([127, 0, 0, 1], port + 1).into(),
@@ -41,9 +41,9 @@
 ///     processor: 0.25,
 ///     ready: true,
 /// };
-/// let mut fleet = Actives::new("r1".parse()?, intro(7000), 24, Span::millis(100));
+/// let mut fleet = Actives::new("r1".parse()?, info(7000), 24, Span::millis(100));
 /// let (name, now) = ("r2".parse()?, Time(0));
-/// fleet.receive_hello(&name, 1, intro(7100), Span::millis(100), 0.0, now);
+/// fleet.receive_hello(&name, 1, info(7100), Span::millis(100), 0.0, now);
 /// fleet.refresh(now);
 /// assert_eq!(fleet.active_count(), 2);
 /// // It falls silent.
@@ -146,20 +146,20 @@
         &mut self,
         name: &RouterId,
         number: u32,
-        intro: RouterInfo,
+        info: RouterInfo,
         next: Span,
         rate: f64,
         now: Time,
     ) -> HelloKind {
         let known = self.peers.get(name);
-        let same = known.filter(|p| p.intro.incarnation == intro.incarnation);
+        let same = known.filter(|p| p.info.incarnation == info.incarnation);
         // Datagrams may arrive out of order. An older one would revert what has changed.
         if same.is_some_and(|p| number <= p.hello_number) {
             return HelloKind::Stale;
         }
         let first = same.is_none();
-        let changed = same.is_none_or(|p| p.silent.is_some() || p.intro.ready != intro.ready);
-        let before = known.map(|p| router_key(name, p.intro.incarnation));
+        let changed = same.is_none_or(|p| p.silent.is_some() || p.info.ready != info.ready);
+        let before = known.map(|p| router_key(name, p.info.incarnation));
         let peer = Peer {
             rate,
             rate_reported: now,
@@ -171,14 +171,14 @@
             next,
             active: same.and_then(|p| p.active),
             silent: None,
-            intro,
+            info,
         };
         if let Some(before) = before {
             self.keys.remove(&before);
         }
-        let key = router_key(name, peer.intro.incarnation);
+        let key = router_key(name, peer.info.incarnation);
         self.keys.insert(key, name.clone());
-        self.contacts.add(peer.intro.peers, now);
+        self.contacts.add(peer.info.peers, now);
         self.peers.insert(name.clone(), peer);
         if changed {
             self.refreshed = None;
@@ -219,8 +219,8 @@
         if flags.busy {
             peer.busy = Some(now);
         }
-        self.contacts.add(peer.intro.peers, now);
-        Some((name.clone(), peer.intro.peers))
+        self.contacts.add(peer.info.peers, now);
+        Some((name.clone(), peer.info.peers))
     }
 
     /// Processes another router's report that active routers are silent. A standby receives
@@ -245,7 +245,7 @@
         let observed = |p: &Peer| p.silent == Some(Silence::Observed);
         let silent = self.peers.iter().filter(|(_, p)| observed(p));
         silent
-            .map(|(name, p)| router_key(name, p.intro.incarnation))
+            .map(|(name, p)| router_key(name, p.info.incarnation))
             .collect()
     }
 }
