--- a/crates/policy/src/ids.rs
+++ b/crates/policy/src/ids.rs
@@ -1,4 +1,4 @@
-//! Names of the things the fleet deals with, each a type of its own.
+//! Names of routers, workspaces, services and so on, each with its own type.
 
 use {
     serde::{
@@ -14,10 +14,10 @@
     thiserror::Error, //
 };
 
-/// Longest name accepted, in bytes.
+/// Maximum length of a name, in bytes.
 const NAME_MAX: usize = 64;
 
-/// Why a name was not accepted.
+/// Why a name is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum IdError {
     /// The name is empty.
@@ -117,7 +117,7 @@
     Zone
 }
 
-/// One start of a router: a later start has a higher number.
+/// An incarnation of a router: a later start has a higher number.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -140,7 +140,7 @@
 
 /// When a replica started, in Unix milliseconds of its own clock.
 ///
-/// Two starts under one id differ in it. It orders nothing, as clocks are set.
+/// It distinguishes two incarnations under one id, but doesn't order them, as clocks may be reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct StartedAt(pub u64);
@@ -151,10 +151,10 @@
     }
 }
 
-/// Which life of the store an answer is of.
+/// The era of the store that an answer belongs to.
 ///
-/// It rises each time that the store comes back from an older copy. Revisions and leases of
-/// different eras have nothing to do with each other: their numbers are given out again.
+/// It increases each time that the store comes back from an older copy. Revisions and leases of
+/// different eras are unrelated, since their numbers are assigned again.
 ///
 /// # Examples
 ///
@@ -169,7 +169,7 @@
 ///
 /// # Errors
 ///
-/// Parsing fails on what is no whole number.
+/// Parsing fails if the text is not an integer.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,11 +1,11 @@
-//! Every decision of the routers, as pure state machines.
+//! The decisions of the routers, as pure state machines.
 //!
-//! Nothing here does I/O, reads a clock or draws a random number of its own: the
-//! caller passes the time and a seed. That is what lets each decision be fuzzed against
-//! an oracle, replayed from a golden file and measured without a network.
+//! Nothing here does I/O, reads a clock or draws its own random numbers: the caller passes the time
+//! and a seed. So each decision can be fuzzed against an oracle, replayed from a golden file and
+//! benchmarked without a network.
 
 pub mod actives;
-mod claim;
+mod answer_state;
 mod dispatch;
 mod entry;
 mod eras;
@@ -32,7 +32,7 @@
 mod watch;
 
 pub use self::{
-    claim::AnswerState,
+    answer_state::AnswerState,
     dispatch::{
         Action,
         Completion,
--- a/crates/policy/src/outcome.rs
+++ b/crates/policy/src/outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended, as its caller is told.
+//! The outcome of a request, as reported to its caller.
 
 use {
     serde::{
@@ -16,27 +16,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Outcome {
-    /// The whole answer was passed on.
+    /// The complete answer was passed on.
     Answered,
     /// No byte of the request was written to an endpoint.
     NotRun,
-    /// An endpoint may have run it, and no whole answer is known.
+    /// An endpoint may have run it, and no complete answer is known.
     MayHaveRun,
-    /// The endpoint answered that it failed.
+    /// The endpoint reported that it failed.
     Failed,
 }
 
-/// Why a request was refused before any endpoint saw it.
+/// Why a request was rejected before it was sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Refusal {
-    /// The workspace has as many queued requests as it may.
+    /// The workspace has the maximum number of queued requests.
     QueueFull,
     /// It cannot be served within its deadline.
     Late,
     /// Its deadline passed while it was queued.
     Expired,
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service takes requests.
     NoEndpoint,
     /// This router is shutting down.
     Leaving,
@@ -44,7 +44,7 @@
     Budget,
 }
 
-/// The text names no outcome.
+/// The text is not an outcome.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("`{0}` is no outcome; expected `answered`, `not-run`, `may-have-run` or `failed`")]
 pub struct OutcomeError(String);
--- a/crates/policy/src/placement/tuning.rs
+++ b/crates/policy/src/placement/tuning.rs
@@ -71,7 +71,7 @@
     /// other workspaces over their shares find slots first.
     #[serde(rename = "yields")]
     pub excess_penalty: f64,
-    /// How far beyond one max-min share a request gets this whole penalty.
+    /// How far beyond one max-min share a request gets this penalty in full.
     #[serde(rename = "uneven")]
     pub excess_range: f64,
     /// Additional penalty for a request at [`Tuning::tail_end`] max-min shares.
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -299,7 +299,7 @@
         all
     }
 
-    /// Adds this router's own counts, and its estimate of unreported demand, to what `heard` peers
+    /// Adds this router's own counts, and its estimate of unreported demand, to what `peer_count` peers
     /// reported of a workspace.
     fn with_local(
         &self,
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -1,8 +1,8 @@
-//! Rendezvous hashing: who of the members holds a key, by computation alone.
+//! Rendezvous hashing: which member owns a key, computed without coordination.
 //!
-//! Each member gets a score for the key, and the highest score wins. When a member goes,
-//! only the keys it held move; when one comes, only the keys it wins move. Every process
-//! that sees the same members comes to the same answer, with no election.
+//! Each member gets a score for the key, and the highest score wins. When a member leaves, only the
+//! keys that it owned move; when one joins, only the keys that it wins move. Every process that
+//! knows the same members computes the same owner, without an election.
 
 use {
     std::cmp::Reverse,
@@ -28,8 +28,8 @@
 
 /// Returns the `k` members with the highest scores, best first.
 ///
-/// `name` gives the text that a member is hashed by. Two members of equal score are
-/// ordered by name, so the order in which they are given does not matter.
+/// `name` returns the text that a member is hashed by. Members with equal scores are ordered by
+/// name, so the order of the input doesn't matter.
 ///
 /// # Examples
 ///
@@ -68,7 +68,7 @@
     best_near(key, members, name, |_| true)
 }
 
-/// Like [`top`], with all members that are `near` before those that are not.
+/// Like [`top`], but all members that are `near` come before those that are not.
 ///
 /// # Examples
 ///
@@ -90,7 +90,7 @@
     ranked
 }
 
-/// Returns all members, best first, for a key that is a hash already.
+/// Returns all members, best first, for a key that is already a hash.
 ///
 /// # Examples
 ///
--- a/crates/policy/src/revision.rs
+++ b/crates/policy/src/revision.rs
@@ -1,11 +1,11 @@
-//! How far the platform's store has come.
+//! Revisions of the platform's store.
 
 use {
     crate::Era,
     std::fmt, //
 };
 
-/// How often the store has changed, in one of its eras.
+/// The number of changes to the store, in one of its eras.
 ///
 /// # Examples
 ///
@@ -21,13 +21,13 @@
 pub struct Revision {
     /// The era that the number belongs to.
     pub era: Era,
-    /// How often it had changed.
+    /// The number of changes.
     pub number: u64,
 }
 
 impl Revision {
-    /// Tells whether the number is lower than in an earlier answer of the same era: the store came
-    /// back from an older copy and names no era.
+    /// Returns whether the number is lower than in an earlier answer of the same era, which means
+    /// that the store came back from an older copy and doesn't report eras.
     pub fn fell_since(self, before: Revision) -> bool {
         self.era == before.era && self.number < before.number
     }
--- a/crates/policy/src/time.rs
+++ b/crates/policy/src/time.rs
@@ -1,4 +1,4 @@
-//! Moments on the monotonic clock, and spans between them.
+//! Times on the monotonic clock, and time spans.
 
 use {
     serde::{
@@ -19,13 +19,13 @@
     thiserror::Error, //
 };
 
-/// A moment on this process's monotonic clock, in microseconds since it started.
+/// A time on this process's monotonic clock, in microseconds since it started.
 ///
-/// It means nothing to another process: what goes over the wire is a [`Span`].
+/// It has no meaning in another process: messages carry a [`Span`] instead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Time(pub u64);
 
-/// A length of time, in microseconds.
+/// A time span, in microseconds.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -33,20 +33,20 @@
 pub struct Span(pub u64);
 
 impl Span {
-    /// No time at all.
+    /// The empty span.
     pub const ZERO: Span = Span(0);
 
-    /// Makes a span from milliseconds.
+    /// Returns a span of `n` milliseconds.
     pub const fn millis(n: u64) -> Span {
         Span(n * 1_000)
     }
 
-    /// Makes a span from seconds.
+    /// Returns a span of `n` seconds.
     pub const fn secs(n: u64) -> Span {
         Span(n * 1_000_000)
     }
 
-    /// Returns the span in seconds, with its fraction.
+    /// Returns the span in seconds.
     pub fn as_secs(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -58,7 +58,7 @@
 }
 
 impl Time {
-    /// Returns the span from `earlier` to this moment, or none where it is later.
+    /// Returns the span from `earlier` to this time, or zero if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
@@ -114,7 +114,7 @@
     }
 }
 
-/// Why a length of time was not accepted.
+/// Why a time span is invalid.
 #[derive(Debug, Error, PartialEq, Eq)]
 #[error("`{0}` is not a length of time; write a whole number and a unit: `250ms`, `3s` or `2m`")]
 pub struct SpanError(String);
--- a/crates/policy/src/units.rs
+++ b/crates/policy/src/units.rs
@@ -1,4 +1,4 @@
-//! Amounts: service received, shares and slots.
+//! Amounts: received service, shares and slots.
 
 use {
     serde::{
@@ -18,10 +18,10 @@
     thiserror::Error, //
 };
 
-/// Why an amount was not accepted.
+/// Why an amount is invalid.
 #[derive(Debug, Error, PartialEq)]
 pub enum UnitsError {
-    /// The text is no number.
+    /// The text is not a number.
     #[error("`{0}` is not a number; write one such as `2` or `0.5`")]
     Number(String),
     /// The amount is out of range.
@@ -34,12 +34,12 @@
 #[serde(transparent)]
 pub struct Units(pub f64);
 
-/// The share of a workspace: its part of the service relative to others.
+/// The share of a workspace: its part of the service relative to other workspaces.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd, Serialize, Deserialize)]
 #[serde(try_from = "f64", into = "f64")]
 pub struct Share(f64);
 
-/// A number of requests that may run at once.
+/// A number of requests that may run at the same time.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize,
 )]
@@ -47,7 +47,7 @@
 pub struct Slots(pub u32);
 
 impl Share {
-    /// The share of a workspace that the configuration gives none.
+    /// The share of a workspace without a configured one.
     pub const ONE: Share = Share(1.0);
 
     /// Returns the share as a number.
@@ -57,7 +57,7 @@
 }
 
 impl Units {
-    /// Returns this service divided by a share.
+    /// Returns this amount divided by a share.
     pub fn over(self, share: Share) -> Units {
         Units(self.0 / share.0)
     }
--- a/crates/policy/src/validity.rs
+++ b/crates/policy/src/validity.rs
@@ -1,11 +1,11 @@
-//! How long a peer's word counts.
+//! How long a report of a peer is valid.
 
 use crate::{
     Span,
     Time, //
 };
 
-/// How long a peer's word counts, as peers of larger fleets speak more seldom.
+/// How long a report of a peer is valid. Peers report less often in larger fleets.
 ///
 /// # Examples
 ///
@@ -15,7 +15,7 @@
 /// let mut validity = Validity::new(Span::millis(700), 2.3);
 /// let later = Time(0) + Span::secs(1);
 /// assert!(!validity.is_valid(Time(0), later));
-/// // A word that counted for less than the time to the next would be missing most of the time.
+/// // A validity below the report interval would leave the report out most of the time.
 /// validity.set_report_interval(Span::millis(500));
 /// assert!(validity.is_valid(Time(0), later));
 /// ```
@@ -23,27 +23,26 @@
 pub struct Validity {
     least: Span,
     missed: f64,
-    span: Span,
+    valid_for: Span,
 }
 
 impl Validity {
-    /// Makes the validity of words that count for `least` at least, and until so many times
-    /// between two words have passed.
+    /// Creates a validity of at least `least`, and of `missed` report intervals.
     pub const fn new(least: Span, missed: f64) -> Validity {
         Validity {
             least,
             missed,
-            span: least,
+            valid_for: least,
         }
     }
 
-    /// Sets how often peers speak.
-    pub fn set_report_interval(&mut self, every: Span) {
-        self.span = self.least.max(every * self.missed);
+    /// Sets the interval between the reports of a peer.
+    pub fn set_report_interval(&mut self, interval: Span) {
+        self.valid_for = self.least.max(interval * self.missed);
     }
 
-    /// Tells whether a word that was heard then counts now.
+    /// Returns whether a report that arrived at `at` is valid now.
     pub fn is_valid(&self, at: Time, now: Time) -> bool {
-        now.since(at) < self.span
+        now.since(at) < self.valid_for
     }
 }
