--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -1,10 +1,10 @@
-//! What is known of the replicas, put before the decision where a request goes.
+//! Collects what is known of the replicas for the placement decision.
 
 use {
     super::{
         admit::Request,
-        place::Place,
-        step::Refusal, //
+        outcome::Refusal,
+        permit::SlotPermit, //
     },
     crate::{
         model::{
@@ -22,11 +22,11 @@
             pick_plain,
             Candidate,
             Pick,
-            PlacementRequest, //
+            PlacementRequest,
             PlainCandidate,
             Prompt,
             ReplicaKey,
-            View,
+            View, //
         },
         quota::{
             UsageStanding,
@@ -45,22 +45,23 @@
     xxhash_rust::xxh3::xxh3_64, //
 };
 
-/// When to come back where no replica takes work: about the first rest of one that failed.
-const NOBODY_AGAIN: Duration = Duration::from_millis(400);
+/// Retry delay if no replica takes work: about as long as a replica is avoided after its first
+/// failure.
+const NO_REPLICA_RETRY_DELAY: Duration = Duration::from_millis(400);
 
-/// A request that was refused.
+/// A request for which no replica was chosen.
 #[derive(Debug)]
 pub(crate) struct Refused {
-    pub(crate) why: Refusal,
-    pub(crate) after: Duration,
-    /// What it was decided by, for the log.
+    pub(crate) refusal: Refusal,
+    pub(crate) retry_delay: Duration,
+    /// What the decision was based on, for the request log.
     pub(crate) inputs: String,
 }
 
-/// What a router knew when it chose among engines, for the log.
+/// What the router knew when it chose among engines, for the request log.
 #[derive(Debug, Clone, Copy, Default)]
 struct Basis {
-    standing: UsageStanding,
+    usage: UsageStanding,
     view: View,
     active: bool,
 }
@@ -68,116 +69,118 @@
 impl fmt::Display for Basis {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Basis {
-            standing,
+            usage,
             view,
             active,
         } = self;
         write!(
             f,
             "share={:.2} even={:.2} asked={:.0} part={:.0} running={} own={} peers={} active={active}",
-            standing.share, standing.max_min_ratio, standing.demand, standing.max_min_share, view.running, view.local,
+            usage.share, usage.max_min_ratio, usage.demand, usage.max_min_share, view.running, view.local,
             view.peers,
         )
     }
 }
 
 impl Shared {
-    /// Chooses a replica for a request, apart from those that were tried, and takes a place.
+    /// Chooses a replica for a request, other than those already tried, and takes one of its slots.
     ///
-    /// A request under which replicas ended gets none. Each that it is sent to ends with all that
-    /// runs there, which shows as a tenth and more of a service's requests failing while it comes.
-    /// The refusal holds for each try at each router, since all of them know of it a moment later.
+    /// A quarantined request is rejected: every replica that runs it crashes, along with all other
+    /// requests running there, so one such request fails a tenth or more of a service's requests
+    /// while its caller repeats it. Quarantines are shared with all routers, so the rejection holds
+    /// for every attempt everywhere.
     ///
     /// # Errors
     ///
-    /// Why it is refused, and when a place is likely.
-    pub(crate) fn place(
+    /// Why the request is rejected, and when a retry is likely to succeed.
+    pub(crate) fn acquire_slot(
         self: &Arc<Shared>,
         req: &Request,
         tried: &[ReplicaId],
-        claim: AnswerState,
-    ) -> Result<Place, Refused> {
+        answer_state: AnswerState,
+    ) -> Result<SlotPermit, Refused> {
         let now = self.now();
         let mut tables = self.tables();
         if let Some(left) = tables.quarantine.remaining(req.digest, now) {
             return Err(Refused {
-                why: Refusal::Held,
-                after: left.into(),
+                refusal: Refusal::Quarantined,
+                retry_delay: left.into(),
                 inputs: String::new(),
             });
         }
-        let (prompt, engine) = (req.prompt.as_ref(), req.about.engine);
+        let (prompt, engine) = (req.prompt.as_ref(), req.service_info.engine);
         let (picked, basis) = match (prompt, engine) {
             (Some(prompt), Some(engine)) => {
                 let (pick, basis) =
-                    tables.pick_engine(self, req, (prompt, engine), tried, claim, now);
+                    tables.choose_engine(self, req, (prompt, engine), tried, answer_state, now);
                 (pick, Some(basis))
             }
-            _ => (tables.pick_server(self, req, tried, claim, now), None),
+            _ => (
+                tables.choose_plain(self, req, tried, answer_state, now),
+                None,
+            ),
         };
         let inputs = basis.as_ref().map_or(String::new(), Basis::to_string);
         let choice = match picked {
             None => {
                 return Err(Refused {
-                    why: Refusal::NoReplica,
-                    after: NOBODY_AGAIN,
+                    refusal: Refusal::NoReplica,
+                    retry_delay: NO_REPLICA_RETRY_DELAY,
                     inputs: String::new(),
                 })
             }
             Some(Pick::Refuse {
-                retry_after: after,
-                fullness: full,
+                retry_after,
+                fullness,
                 bound,
             }) => {
                 if let (Some(prompt), Some(workspace), Some(basis)) =
                     (prompt, &req.workspace, basis)
                 {
                     let tokens = prompt.cost() as u64;
-                    tables
-                        .tally
-                        .refused(workspace, tokens, basis.standing, bound);
+                    tables.tally.refused(workspace, tokens, basis.usage, bound);
                 }
                 return Err(Refused {
-                    why: Refusal::Full,
-                    after: after.into(),
-                    inputs: format!("full={full:.2} bound={bound} {inputs}"),
+                    refusal: Refusal::Full,
+                    retry_delay: retry_after.into(),
+                    inputs: format!("full={fullness:.2} bound={bound} {inputs}"),
                 });
             }
             Some(Pick::Run(choice)) => choice,
         };
-        let mut place = tables.take(self, req, choice, claim, now);
-        place.inputs = inputs;
-        Ok(place)
+        let mut permit = tables.take_slot(self, req, choice, answer_state, now);
+        permit.inputs = inputs;
+        Ok(permit)
     }
 }
 
 impl Tables {
-    fn pick_engine(
+    fn choose_engine(
         &mut self,
         gw: &Shared,
         req: &Request,
         (prompt, engine): (&Prompt, Engine),
         tried: &[ReplicaId],
-        claim: AnswerState,
+        answer_state: AnswerState,
         now: Time,
     ) -> (Option<Pick>, Basis) {
         let workspace = req.workspace.as_ref().map(WorkspaceKey::of);
-        let standing = workspace.map_or(UsageStanding::default(), |key| {
+        let usage = workspace.map_or(UsageStanding::default(), |key| {
             if tried.is_empty() {
                 self.quota.record_requested(key, prompt.cost(), now);
             }
-            self.quota.standing(key, roll(&req.id), now)
+            self.quota.standing(key, id_fraction(&req.id), now)
         });
         self.board.forget(now);
         let basis = Basis {
-            standing,
+            usage,
             view: self.board.view(now),
             active: self.fleet.is_active(),
         };
-        let usual = self.usual_failures(req);
-        let home = prompt.affinity_key().unwrap_or_default();
+        let baseline = self.baseline_failures(req);
+        let affinity_key = prompt.affinity_key().unwrap_or_default();
         let candidates: Vec<Candidate> = self
-            .open(req, tried, now)
+            .available(req, tried, now)
             .map(|(key, replica)| Candidate {
                 id: replica.id.clone(),
                 key,
@@ -186,39 +189,39 @@
                 memory: engine.memory,
                 speed: self.speeds.of(key),
                 load: self.board.load(key, now),
-                penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(usual)),
+                penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(baseline)),
                 cached_age_s: self
                     .cached
-                    .get(&(key, home))
+                    .get(&(key, affinity_key))
                     .map(|at| now.since(*at).as_secs()),
             })
             .collect();
         if candidates.is_empty() {
             return (None, basis);
         }
-        let wish = PlacementRequest {
+        let request = PlacementRequest {
             prompt,
-            answer: claim,
+            answer: answer_state,
             target: Span::from(req.route.target),
-            shortest_target: Span::from(req.shortest),
-            usage: standing,
+            shortest_target: Span::from(req.min_target),
+            usage,
             load_interval: self.fleet.gossip_interval(),
             tuning: &gw.settings.placement,
         };
-        (Some(pick(&candidates, &wish)), basis)
+        (Some(pick(&candidates, &request)), basis)
     }
 
-    fn pick_server(
+    fn choose_plain(
         &mut self,
         gw: &Shared,
         req: &Request,
         tried: &[ReplicaId],
-        claim: AnswerState,
+        answer_state: AnswerState,
         now: Time,
     ) -> Option<Pick> {
-        let usual = self.usual_failures(req);
-        let servers: Vec<PlainCandidate> = self
-            .open(req, tried, now)
+        let baseline = self.baseline_failures(req);
+        let candidates: Vec<PlainCandidate> = self
+            .available(req, tried, now)
             .map(|(key, replica)| PlainCandidate {
                 id: replica.id.clone(),
                 key,
@@ -226,14 +229,15 @@
                 load: self.board.load(key, now),
                 mean_latency_s: self.latencies.of(key),
                 same_zone: replica.zone == gw.settings.zone,
-                penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(usual)),
+                penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(baseline)),
             })
             .collect();
-        (!servers.is_empty()).then(|| pick_plain(&servers, claim, fastrand::u64(..)))
+        (!candidates.is_empty()).then(|| pick_plain(&candidates, answer_state, fastrand::u64(..)))
     }
 
-    /// Returns the replicas of a request's service that take work and answer.
-    fn open<'a>(
+    /// Returns the replicas of the request's service that take work and are not avoided because of
+    /// failures.
+    fn available<'a>(
         &'a self,
         req: &'a Request,
         tried: &'a [ReplicaId],
@@ -246,8 +250,8 @@
             .filter(move |(key, _)| self.health.get(key).is_none_or(|h| h.is_available(now)))
     }
 
-    /// Returns the part of failures that is usual at a service: the least of its replicas'.
-    fn usual_failures(&self, req: &Request) -> f64 {
+    /// Returns the baseline failure rate of a service: the lowest among its replicas.
+    fn baseline_failures(&self, req: &Request) -> f64 {
         let ready = self.roster.ready();
         let of_service = ready.filter(|(_, r)| r.service == req.service);
         let failures = of_service.map(|(_, r)| {
@@ -257,7 +261,7 @@
         let mut least = 1.0;
         for part in failures {
             least = f64::min(least, part);
-            // Mostly the first replica does not fail, and none fails less.
+            // Usually the first replica has no failures, and no other can have fewer.
             if least == 0.0 {
                 break;
             }
@@ -266,7 +270,7 @@
     }
 }
 
-/// Returns a number from 0 to 1 for a request, the same whenever it is asked.
-fn roll(id: &str) -> f64 {
+/// Maps a request id to a number from 0 to 1, always the same for the same id.
+fn id_fraction(id: &str) -> f64 {
     xxh3_64(id.as_bytes()) as f64 / u64::MAX as f64
 }
--- a/crates/policy/src/head/mod.rs
+++ b/crates/policy/src/head/mod.rs
@@ -7,14 +7,14 @@
 pub use self::{
     revision::{
         Decision,
+        FetchOutcome,
         Hash,
         Revision,
-        Source,
-        Taken, //
+        Source, //
     },
     table::Head,
     watchers::{
         watchers,
-        WATCHERS, //
+        WATCHER_COUNT, //
     },
 };
--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -3,14 +3,14 @@
 use {
     super::{
         gaps::Gaps,
+        GossipUpdate,
         Heartbeat,
         Intro,
         Listed,
         Member,
-        Plan,
-        Rumour,
-        State,
-        Word, //
+        MembershipParams,
+        ReportedState,
+        State, //
     },
     crate::{
         Incarnation,
@@ -46,7 +46,7 @@
 }
 
 impl Peer {
-    pub(super) fn new(id: RouterId, intro: &Intro, plan: &Plan, now: Time) -> Peer {
+    pub(super) fn new(id: RouterId, intro: &Intro, params: &MembershipParams, now: Time) -> Peer {
         Peer {
             member: Member {
                 id,
@@ -58,8 +58,8 @@
                 state: State::Listed,
                 leaving: false,
                 no_platform: false,
-                heard: false,
-                hears: true,
+                inbound_ok: false,
+                outbound_ok: true,
                 config: 0,
                 list: 0,
                 load: 0,
@@ -72,7 +72,7 @@
             due: false,
             probed: false,
             listed: false,
-            gaps: Gaps::new(plan),
+            gaps: Gaps::new(params),
             own_leaving: false,
             list_leaving: false,
             list_stale: false,
@@ -93,7 +93,7 @@
     }
 
     /// Starts over for a later start of the router.
-    pub(super) fn restart(&mut self, incarnation: Incarnation, plan: &Plan) {
+    pub(super) fn restart(&mut self, incarnation: Incarnation, params: &MembershipParams) {
         let known = self.member.incarnation != Incarnation::default();
         self.member.incarnation = incarnation;
         self.member.config = 0;
@@ -106,14 +106,20 @@
         self.list_stale |= known && self.list_leaving;
         self.list_leaving &= !known;
         self.member.leaving = self.list_leaving;
-        self.gaps = Gaps::new(plan);
+        self.gaps = Gaps::new(params);
     }
 
     /// Notes a heartbeat of the present start that is newer than those before; tells whether
     /// more than the figures it reports has changed.
-    pub(super) fn hear(&mut self, b: &Heartbeat, me: &RouterId, plan: &Plan, now: Time) -> bool {
+    pub(super) fn hear(
+        &mut self,
+        b: &Heartbeat,
+        me: &RouterId,
+        params: &MembershipParams,
+        now: Time,
+    ) -> bool {
         if let (true, Some((_, at))) = (self.due, self.direct) {
-            self.gaps.push(now.since(at), plan);
+            self.gaps.push(now.since(at), params);
         }
         self.direct = Some((b.seq, now));
         self.seq = self.seq.max(b.seq);
@@ -128,8 +134,8 @@
         let before = m.clone();
         m.leaving = self.own_leaving || self.list_leaving;
         m.no_platform = b.no_platform;
-        m.heard = true;
-        m.hears = !b.deaf.contains(me);
+        m.inbound_ok = true;
+        m.outbound_ok = !b.missing.contains(me);
         if let Some(i) = &b.intro {
             m.addr = i.addr;
             m.callers = i.callers;
@@ -163,28 +169,28 @@
     }
 
     /// Returns the news about this router, as it is known here.
-    pub(super) fn rumour(&self) -> Rumour {
-        Rumour {
+    pub(super) fn gossip_update(&self) -> GossipUpdate {
+        GossipUpdate {
             id: self.member.id.clone(),
             incarnation: self.member.incarnation,
             seq: self.seq,
-            word: self.word(),
+            state: self.reported_state(),
         }
     }
 
-    pub(super) fn word(&self) -> Word {
+    pub(super) fn reported_state(&self) -> ReportedState {
         match self.member.state {
-            State::Listed | State::Live => Word::Live,
-            State::Suspect => Word::Suspect,
-            State::Dead => Word::Dead,
-            State::Left => Word::Left,
+            State::Listed | State::Live => ReportedState::Live,
+            State::Suspect => ReportedState::Suspect,
+            State::Dead => ReportedState::Dead,
+            State::Left => ReportedState::Left,
         }
     }
 
     /// Tells whether a heartbeat arrived here within the last two rounds.
-    pub(super) fn fresh(&self, plan: &Plan, now: Time) -> bool {
+    pub(super) fn fresh(&self, params: &MembershipParams, now: Time) -> bool {
         self.direct
-            .is_some_and(|(_, at)| now.since(at) <= Span(plan.interval.0 * 2))
+            .is_some_and(|(_, at)| now.since(at) <= Span(params.interval.0 * 2))
     }
 
     /// Shifts the moments from which silence is counted, after a pause of this process.
