--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -129,7 +129,7 @@
                     inputs: String::new(),
                 })
             }
-            Some(Pick::Refuse {
+            Some(Pick::Reject {
                 retry_after,
                 fullness,
                 bound,
--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -93,7 +93,7 @@
     /// Send it to this replica.
     Run(Choice),
     /// Reject it, as it would be late or displace others.
-    Refuse {
+    Reject {
         /// When a slot is likely to be free.
         retry_after: Span,
         /// Fullness of the least full preferred replica.
@@ -153,7 +153,7 @@
     let least = preferred
         .iter()
         .min_by(|a, b| a.fullness.highest().total_cmp(&b.fullness.highest()));
-    Pick::Refuse {
+    Pick::Reject {
         retry_after: retry_after(preferred, request),
         fullness: least.map_or(0.0, |r| r.fullness.highest()),
         bound: least.map_or(Bound::None, |r| r.exceeds(limit)),
--- a/crates/policy/src/placement/plain.rs
+++ b/crates/policy/src/placement/plain.rs
@@ -76,7 +76,7 @@
             unread: 0,
             source: None,
         }),
-        None => Pick::Refuse {
+        None => Pick::Reject {
             retry_after: RETRY_DELAY,
             fullness: 1.0,
             bound: Bound::Slots,
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -153,7 +153,7 @@
     for engine in &mut all {
         engine.load.running = 58;
     }
-    let Pick::Refuse {
+    let Pick::Reject {
         retry_after: after,
         fullness: full,
         bound,
@@ -177,7 +177,7 @@
             change(engine);
         }
         match choose(&all, standing) {
-            Pick::Refuse { bound, .. } => Some(bound),
+            Pick::Reject { bound, .. } => Some(bound),
             Pick::Run(_) => None,
         }
     };
@@ -195,7 +195,7 @@
         engine.load.running = 36;
     }
     assert!(matches!(choose(&all, 0.5), Pick::Run(_)));
-    assert!(matches!(choose(&all, 3.0), Pick::Refuse { .. }));
+    assert!(matches!(choose(&all, 3.0), Pick::Reject { .. }));
 }
 
 #[test]
@@ -216,7 +216,7 @@
     for engine in &mut all {
         engine.load.unread = 26_000;
     }
-    assert!(matches!(choose(&all, 0.0), Pick::Refuse { .. }));
+    assert!(matches!(choose(&all, 0.0), Pick::Reject { .. }));
 }
 
 #[test]
@@ -225,7 +225,7 @@
     for engine in &mut all {
         engine.load.memory = 1_020_000;
     }
-    assert!(matches!(choose(&all, 0.0), Pick::Refuse { .. }));
+    assert!(matches!(choose(&all, 0.0), Pick::Reject { .. }));
 }
 
 #[test]
@@ -309,7 +309,7 @@
         engine.load.running = 60;
         engine.load.unread = 200_000;
     }
-    assert!(matches!(choose(&all, 5.0), Pick::Refuse { .. }));
+    assert!(matches!(choose(&all, 5.0), Pick::Reject { .. }));
     assert!(matches!(
         choose_for(&all, 5.0, AnswerState::Started),
         Pick::Run(_)
--- a/crates/policy/tests/placement/plain.rs
+++ b/crates/policy/tests/placement/plain.rs
@@ -33,7 +33,7 @@
 fn chosen(servers: &[PlainCandidate], roll: u64) -> String {
     match pick_plain(servers, AnswerState::NotStarted, roll) {
         Pick::Run(choice) => choice.replica.to_string(),
-        Pick::Refuse { .. } => "none".to_owned(),
+        Pick::Reject { .. } => "none".to_owned(),
     }
 }
 
