--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -138,7 +138,9 @@
                     (prompt, &req.workspace, basis)
                 {
                     let tokens = prompt.cost() as u64;
-                    tables.tally.refused(workspace, tokens, basis.usage, bound);
+                    tables
+                        .tally
+                        .record_rejected(workspace, tokens, basis.usage, bound);
                 }
                 return Err(Refused {
                     refusal: Refusal::Full,
--- a/crates/gateway/src/serve/permit.rs
+++ b/crates/gateway/src/serve/permit.rs
@@ -111,7 +111,7 @@
         if let (Some(prompt), Some(workspace)) = (counted, &req.workspace) {
             let key = WorkspaceKey::of(workspace);
             self.quota.record_served(key, prompt.cost(), now);
-            self.tally.begun(workspace, prompt.cost() as u64);
+            self.tally.record_started(workspace, prompt.cost() as u64);
         }
         let replica = self.roster.get(&choice.replica).cloned();
         let source = choice.source.and_then(|id| self.roster.get(&id));
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -155,7 +155,7 @@
     };
     for (workspace, outcomes) in refused {
         let Outcomes {
-            begun: begun,
+            started: begun,
             slots,
             failures,
             time,
--- a/crates/policy/src/quota/tally.rs
+++ b/crates/policy/src/quota/tally.rs
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Outcomes {
     /// Started.
-    pub begun: u64,
+    pub started: u64,
     /// Rejected for lack of slots, though the request was within its workspace's max-min share.
     pub slots: u64,
     /// The same, because the best engines fail requests.
@@ -29,7 +29,7 @@
 
 impl Outcomes {
     /// Returns the rejected tokens.
-    pub fn refused(&self) -> u64 {
+    pub fn rejected(&self) -> u64 {
         self.slots + self.failures + self.time + self.beyond
     }
 }
@@ -43,10 +43,10 @@
 ///
 /// let mut tally = Tally::default();
 /// let workspace = "w1".parse()?;
-/// tally.begun(&workspace, 100);
-/// tally.refused(&workspace, 900, UsageStanding::default(), Bound::Slots);
+/// tally.record_started(&workspace, 100);
+/// tally.record_rejected(&workspace, 900, UsageStanding::default(), Bound::Slots);
 /// let (_, outcomes) = &tally.take(8)[0];
-/// assert_eq!((outcomes.begun, outcomes.slots), (100, 900));
+/// assert_eq!((outcomes.started, outcomes.slots), (100, 900));
 /// assert!(tally.take(8).is_empty());
 /// # Ok::<(), policy::IdError>(())
 /// ```
@@ -57,12 +57,12 @@
 
 impl Tally {
     /// Counts a request that starts.
-    pub fn begun(&mut self, workspace: &WorkspaceId, tokens: u64) {
-        self.of(workspace).begun += tokens;
+    pub fn record_started(&mut self, workspace: &WorkspaceId, tokens: u64) {
+        self.of(workspace).started += tokens;
     }
 
     /// Counts a rejected request, by the limit because of which its best engine doesn't take it.
-    pub fn refused(
+    pub fn record_rejected(
         &mut self,
         workspace: &WorkspaceId,
         tokens: u64,
@@ -82,10 +82,10 @@
     /// Returns the workspaces with most rejected tokens, up to `most` of them, and resets the
     /// counts.
     pub fn take(&mut self, most: usize) -> Vec<(WorkspaceId, Outcomes)> {
-        let refused = self.counts.drain().filter(|(_, o)| o.refused() > 0);
+        let refused = self.counts.drain().filter(|(_, o)| o.rejected() > 0);
         let mut all: Vec<_> = refused.collect();
         all.sort_by(|(a, x), (b, y)| {
-            let key = |o: &Outcomes| Reverse(o.refused());
+            let key = |o: &Outcomes| Reverse(o.rejected());
             key(x).cmp(&key(y)).then_with(|| a.cmp(b))
         });
         all.truncate(most);
--- a/crates/policy/tests/placement/quota.rs
+++ b/crates/policy/tests/placement/quota.rs
@@ -158,14 +158,14 @@
         max_min_ratio: even,
         ..UsageStanding::default()
     };
-    tally.begun(&large, 10);
-    tally.refused(&large, 20, at(0.5), Bound::Slots);
-    tally.refused(&large, 30, at(0.5), Bound::Backlog);
-    tally.refused(&large, 35, at(0.5), Bound::Failures);
-    tally.refused(&large, 40, at(1.5), Bound::Slots);
-    tally.refused(&small, 5, at(0.0), Bound::Slots);
+    tally.record_started(&large, 10);
+    tally.record_rejected(&large, 20, at(0.5), Bound::Slots);
+    tally.record_rejected(&large, 30, at(0.5), Bound::Backlog);
+    tally.record_rejected(&large, 35, at(0.5), Bound::Failures);
+    tally.record_rejected(&large, 40, at(1.5), Bound::Slots);
+    tally.record_rejected(&small, 5, at(0.0), Bound::Slots);
     let outcomes = Outcomes {
-        begun: 10,
+        started: 10,
         slots: 20,
         failures: 35,
         time: 30,
