--- a/crates/gateway/src/follow/register.rs
+++ b/crates/gateway/src/follow/register.rs
@@ -235,7 +235,7 @@
             return;
         };
         let state = entry_state(&gw.settings.name, lease.id, written, seen, asked);
-        if state != EntryState::Stands {
+        if state != EntryState::Valid {
             log::warn!("event=register outcome=lost lease={lease} cause={state:?}");
             self.entry = None;
         }
--- a/crates/policy/src/registration.rs
+++ b/crates/policy/src/registration.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryState {
     /// It exists, or the list may be older than the entry.
-    Stands,
+    Valid,
     /// It is missing, or belongs to a lease that the router does not hold.
     Lost,
     /// Another router's entry belongs to the same lease.
@@ -57,14 +57,14 @@
     requested: Time,
 ) -> EntryState {
     if requested < written + LIST_AGE_MAX {
-        return EntryState::Stands;
+        return EntryState::Valid;
     }
     let stands = list.iter().any(|e| e.name == local && e.lease == lease);
     let shared = list.iter().any(|e| e.name != local && e.lease == lease);
     match (stands, shared) {
         (false, _) => EntryState::Lost,
         (true, true) => EntryState::Shared,
-        (true, false) => EntryState::Stands,
+        (true, false) => EntryState::Valid,
     }
 }
 
--- a/crates/policy/src/registration/tests.rs
+++ b/crates/policy/src/registration/tests.rs
@@ -21,7 +21,7 @@
 fn entry_that_stands() {
     assert_eq!(
         state(&[("r1", 7), ("r2", 8)], Span::secs(9)),
-        EntryState::Stands
+        EntryState::Valid
     );
 }
 
@@ -53,5 +53,5 @@
 /// write.
 #[test]
 fn entry_newer_than_the_list() {
-    assert_eq!(state(&[], Span::secs(4)), EntryState::Stands);
+    assert_eq!(state(&[], Span::secs(4)), EntryState::Valid);
 }
