--- a/crates/policy/src/placement/pick.rs
+++ b/crates/policy/src/placement/pick.rs
@@ -127,7 +127,7 @@
 /// already has. It goes to the engine with the shortest queue.
 pub fn pick(engines: &[Candidate], request: &PlacementRequest<'_>) -> Pick {
     let affinity_key = request.prompt.affinity_key().unwrap_or_default();
-    let rated: Vec<Rated<'_>> = rendezvous::of_hash(affinity_key, engines, |e| e.id.as_str())
+    let rated: Vec<Rated<'_>> = rendezvous::rank_by_hash(affinity_key, engines, |e| e.id.as_str())
         .into_iter()
         .enumerate()
         .map(|(rank, engine)| rate(engine, rank, request))
--- a/crates/policy/src/rendezvous.rs
+++ b/crates/policy/src/rendezvous.rs
@@ -97,10 +97,10 @@
 /// ```
 /// use policy::rendezvous;
 ///
-/// let all = rendezvous::of_hash(7, ["a", "b", "c"], |m| m);
-/// assert_eq!(all, rendezvous::of_hash(7, ["c", "b", "a"], |m| m));
+/// let all = rendezvous::rank_by_hash(7, ["a", "b", "c"], |m| m);
+/// assert_eq!(all, rendezvous::rank_by_hash(7, ["c", "b", "a"], |m| m));
 /// ```
-pub fn of_hash<T, I, F>(hash: u64, members: I, name: F) -> Vec<T>
+pub fn rank_by_hash<T, I, F>(hash: u64, members: I, name: F) -> Vec<T>
 where
     I: IntoIterator<Item = T>,
     F: Fn(&T) -> &str,
