--- a/crates/policy/src/quota/tally.rs
+++ b/crates/policy/src/quota/tally.rs
@@ -82,8 +82,8 @@
     /// Returns the workspaces with most rejected tokens, up to `most` of them, and resets the
     /// counts.
     pub fn take(&mut self, most: usize) -> Vec<(WorkspaceId, Outcomes)> {
-        let refused = self.counts.drain().filter(|(_, o)| o.rejected() > 0);
-        let mut all: Vec<_> = refused.collect();
+        let rejected = self.counts.drain().filter(|(_, o)| o.rejected() > 0);
+        let mut all: Vec<_> = rejected.collect();
         all.sort_by(|(a, x), (b, y)| {
             let key = |o: &Outcomes| Reverse(o.rejected());
             key(x).cmp(&key(y)).then_with(|| a.cmp(b))
--- a/crates/policy/tests/placement/board.rs
+++ b/crates/policy/tests/placement/board.rs
@@ -1,4 +1,4 @@
-//! The work of replicas over the fleet.
+//! The load of replicas over the fleet.
 
 use {
     policy::{
@@ -15,8 +15,8 @@
     xxhash_rust::xxh3::xxh3_64, //
 };
 
-/// How long a peer's word counts.
-const HEARD: Span = Span::millis(700);
+/// How long a peer's report is valid.
+const REPORT_VALIDITY: Span = Span::millis(700);
 
 /// Draws a number below `below` for a step.
 fn draw(step: u64, what: &str, below: u64) -> u64 {
@@ -31,12 +31,12 @@
     }
 }
 
-/// Guards against sums that drift from what the peers sent, so that replicas seem ever fuller.
+/// Guards against sums that drift from what the peers reported, so that replicas seem ever fuller.
 #[test]
-fn board_sum_of_what_is_heard() {
+fn board_sum_of_reports() {
     let names: Vec<RouterId> = (0..6).map(|i| format!("r-{i}").parse().unwrap()).collect();
     let mut board = Board::default();
-    let mut told: BTreeMap<RouterId, (Time, Vec<(ReplicaKey, Load)>)> = BTreeMap::new();
+    let mut reports: BTreeMap<RouterId, (Time, Vec<(ReplicaKey, Load)>)> = BTreeMap::new();
     let mut now = Time(0);
     for step in 0..4_000 {
         now += Span::millis(draw(step, "pause", 60));
@@ -48,14 +48,16 @@
                 .map(|key| (ReplicaKey(key), load(1 + draw(step, "load", 40))))
                 .collect();
             board.set_peer(from, &loads, now);
-            told.insert(from.clone(), (now, loads));
+            reports.insert(from.clone(), (now, loads));
         }
         if draw(step, "forget", 5) == 0 {
             board.forget(now);
         }
         for key in (0..8).map(ReplicaKey) {
-            let heard = told.values().filter(|(at, _)| now.since(*at) < HEARD);
-            let loads = heard.flat_map(|(_, loads)| loads).filter(|l| l.0 == key);
+            let valid = reports
+                .values()
+                .filter(|(at, _)| now.since(*at) < REPORT_VALIDITY);
+            let loads = valid.flat_map(|(_, loads)| loads).filter(|l| l.0 == key);
             let running: u32 = loads.map(|l| l.1.running).sum();
             assert_eq!(board.load(key, now), load(u64::from(running)), "{step}");
         }
@@ -64,9 +66,9 @@
     }
 }
 
-/// Guards against loads that are dropped before the next ones come.
+/// Guards against loads that expire before the next report.
 #[test]
-fn board_words_of_a_large_fleet() {
+fn board_reports_of_a_large_fleet() {
     let mut board = Board::default();
     let (peer, key) = ("r-1".parse().unwrap(), ReplicaKey(1));
     board.set_peer(&peer, &[(key, load(20))], Time(0));
--- a/crates/policy/tests/placement/health.rs
+++ b/crates/policy/tests/placement/health.rs
@@ -1,4 +1,4 @@
-//! Replicas that fail, are silent, or can't be reached.
+//! Replicas that fail, are silent or can't be reached.
 
 use policy::{
     placement::Health,
@@ -11,9 +11,9 @@
 }
 
 #[test]
-fn health_rests_and_is_tried() {
-    // A replica crashed. Every request that goes there until the list says so is lost, so it
-    // rests; one request at a time then finds out whether it is back.
+fn health_backoff_and_probe() {
+    // A replica crashed. Every request to it is lost until it is off the list, so it gets a
+    // backoff, and one probe request at a time then finds out whether it is back.
     let mut health = Health::default();
     health.unreachable(at(0));
     assert!(!health.is_available(at(299)));
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn health_rest_grows() {
+fn health_backoff_grows() {
     let mut health = Health::default();
     health.unreachable(at(0));
     health.sent(at(300));
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn health_many_failures_are_one() {
-    // Forty streams break at the same moment. Counted one by one, the rest would double
-    // forty times and a replica that restarts in a second stay away for the longest rest.
+fn health_simultaneous_failures_count_once() {
+    // Forty streams fail at the same moment. If each counted, the backoff would double forty times,
+    // and a replica that restarts within a second would get no requests for the longest backoff.
     let mut health = Health::default();
     for _ in 0..40 {
         health.unreachable(at(0));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn health_lost_trial_is_repeated() {
+fn health_lost_probe_is_repeated() {
     let mut health = Health::default();
     health.unreachable(at(0));
     health.sent(at(300));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn health_usual_failures_count_nothing() {
+fn health_usual_failures_have_no_penalty() {
     let mut health = Health::default();
     for n in 0..200 {
         health.answered(n % 7 != 0);
@@ -68,9 +68,9 @@
 }
 
 #[test]
-fn health_one_broken_answer() {
-    // A replica breaks one answer in forty and serves the others. Resting after each, it
-    // would be idle half of the time, and its requests crowd the rest.
+fn health_rare_broken_responses_cause_no_backoff() {
+    // A replica breaks one response in forty and serves the others. With a backoff after each it
+    // would be idle half of the time, and its requests would crowd the other replicas.
     let mut health = Health::default();
     for n in 0..400 {
         match n % 40 {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn health_crash_rests() {
+fn health_crash_causes_backoff() {
     let mut health = Health::default();
     for _ in 0..3 {
         assert!(health.is_available(at(0)));
--- a/crates/policy/tests/placement/main.rs
+++ b/crates/policy/tests/placement/main.rs
@@ -1,4 +1,4 @@
-//! Where requests go, who is refused, and which replicas count as there.
+//! Where requests go, which are rejected, and which replicas are available.
 
 mod board;
 mod health;
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -48,28 +48,28 @@
     }
 }
 
-fn choose(engines: &[Candidate], standing: f64) -> Pick {
-    choose_for(engines, standing, AnswerState::NotStarted)
+fn choose(engines: &[Candidate], share: f64) -> Pick {
+    choose_for(engines, share, AnswerState::NotStarted)
 }
 
-fn choose_for(engines: &[Candidate], standing: f64, claim: AnswerState) -> Pick {
-    let wish = PlacementRequest {
+fn choose_for(engines: &[Candidate], share: f64, answer: AnswerState) -> Pick {
+    let request = PlacementRequest {
         prompt: &prompt(),
-        answer: claim,
+        answer,
         target: Span::millis(400),
         shortest_target: Span::millis(250),
         usage: UsageStanding {
-            share: standing,
+            share,
             ..UsageStanding::default()
         },
         load_interval: Span::millis(100),
         tuning: &Tuning::default(),
     };
-    pick(engines, &wish)
+    pick(engines, &request)
 }
 
-fn run(engines: &[Candidate], standing: f64) -> Choice {
-    match choose(engines, standing) {
+fn run(engines: &[Candidate], share: f64) -> Choice {
+    match choose(engines, share) {
         Pick::Run(choice) => choice,
         other => panic!("{other:?}"),
     }
@@ -81,55 +81,58 @@
 }
 
 #[test]
-fn pick_home_each_time() {
+fn pick_same_preferred_each_time() {
     let mut all = engines(12);
-    let home = run(&all, 0.0);
-    assert_eq!(home.uncached, 6_600);
+    let preferred = run(&all, 0.0);
+    assert_eq!(preferred.uncached, 6_600);
     all.reverse();
-    assert_eq!(run(&all, 0.0).replica, home.replica);
+    assert_eq!(run(&all, 0.0).replica, preferred.replica);
 }
 
 #[test]
-fn pick_home_that_was_used_copies_nothing() {
+fn pick_preferred_with_cache_copies_nothing() {
     let mut all = engines(12);
-    let home = run(&all, 0.0).replica;
-    all.iter_mut().find(|e| e.id == home).unwrap().cached_age_s = Some(1.0);
+    let preferred = run(&all, 0.0).replica;
+    all.iter_mut()
+        .find(|e| e.id == preferred)
+        .unwrap()
+        .cached_age_s = Some(1.0);
     assert_eq!(run(&all, 0.0).source, None);
 }
 
 #[test]
-fn pick_home_unknown_asks_the_other() {
-    // Another router sent the first request of a document to its second home, where a place
-    // was free. This router knows of neither, sent the next to the first home, and the document
-    // was read a second time there.
+fn pick_preferred_without_cache_copies_from_the_other() {
+    // Another router sent the first request with a document to the second preferred replica, where
+    // a slot was free. This router knows of neither and chooses the first one, which would read the
+    // document again.
     let mut all = engines(12);
-    let home = run(&all, 0.0).replica;
-    fill(&mut all, &home, 58);
+    let preferred = run(&all, 0.0).replica;
+    fill(&mut all, &preferred, 58);
     let other = run(&all, 0.0).replica;
-    fill(&mut all, &home, 0);
+    fill(&mut all, &preferred, 0);
     let choice = run(&all, 0.0);
-    assert_eq!(choice.replica, home);
+    assert_eq!(choice.replica, preferred);
     assert_eq!(choice.source, Some(other));
 }
 
 #[test]
-fn pick_second_home_copies() {
-    // The home of a popular document is full. Its requests used to read the document anew
-    // elsewhere, 5,400 tokens each time, until reading ate the engines.
+fn pick_second_preferred_copies() {
+    // The first preferred replica of a popular document is full. If its requests read the document
+    // again elsewhere, 5,400 tokens each time, reading takes up the engines.
     let mut all = engines(12);
-    let home = run(&all, 0.0).replica;
-    fill(&mut all, &home, 58);
+    let preferred = run(&all, 0.0).replica;
+    fill(&mut all, &preferred, 58);
     let second = run(&all, 0.0);
-    assert_ne!(second.replica, home);
-    assert_eq!(second.source, Some(home));
+    assert_ne!(second.replica, preferred);
+    assert_eq!(second.source, Some(preferred));
     assert_eq!(second.uncached, 6_600);
 }
 
 #[test]
 fn pick_without_copies_reads_again() {
     let mut all = engines(12);
-    let home = run(&all, 0.0).replica;
-    fill(&mut all, &home, 58);
+    let preferred = run(&all, 0.0).replica;
+    fill(&mut all, &preferred, 58);
     all.iter_mut().for_each(|e| e.can_copy = false);
     let second = run(&all, 0.0);
     assert_eq!(second.uncached, 12_000);
@@ -137,7 +140,7 @@
 }
 
 #[test]
-fn pick_idle_engine_beyond_homes() {
+fn pick_idle_engine_beyond_preferred() {
     let mut all = engines(12);
     let first = run(&all, 0.0).replica;
     fill(&mut all, &first, 58);
@@ -148,35 +151,35 @@
 }
 
 #[test]
-fn pick_refuses_when_all_are_busy() {
+fn pick_rejects_when_all_are_busy() {
     let mut all = engines(12);
     for engine in &mut all {
         engine.load.running = 58;
     }
     let Pick::Reject {
-        retry_after: after,
-        fullness: full,
+        retry_after,
+        fullness,
         bound,
     } = choose(&all, 0.0)
     else {
-        panic!("nothing has room");
+        panic!("no engine has a free slot");
     };
-    assert!(after > Span::ZERO && after <= Span::secs(2));
-    assert!(full > 1.2);
+    assert!(retry_after > Span::ZERO && retry_after <= Span::secs(2));
+    assert!(fullness > 1.2);
     assert_eq!(bound, Bound::Slots);
 }
 
-/// Guards against a refusal that is put down to slots, of which half are free, where others' prompts or
-/// failures of the engine are the reason.
+/// Guards against a rejection that is attributed to slots, half of which are free, though the
+/// reason is the backlog or failures of the engine.
 #[test]
-fn pick_refusal_tells_the_limit_exceeded() {
-    let bound = |change: &dyn Fn(&mut Candidate), standing| {
+fn pick_rejection_names_the_limit_exceeded() {
+    let bound = |change: &dyn Fn(&mut Candidate), share| {
         let mut all = engines(12);
         for engine in &mut all {
             engine.load.running = 22;
             change(engine);
         }
-        match choose(&all, standing) {
+        match choose(&all, share) {
             Pick::Reject { bound, .. } => Some(bound),
             Pick::Run(_) => None,
         }
@@ -187,9 +190,9 @@
 }
 
 #[test]
-fn pick_flood_first_refused() {
-    // One workspace floods the fleet. Everybody was refused alike then, and a small
-    // workspace lost as large a part of its few requests as the flood of its many.
+fn pick_flood_rejected_first() {
+    // One workspace floods the fleet. If all were rejected alike, a small workspace would lose as
+    // large a fraction of its few requests as the flood of its many.
     let mut all = engines(12);
     for engine in &mut all {
         engine.load.running = 36;
@@ -200,7 +203,7 @@
 
 #[test]
 fn pick_flood_has_idle_engines() {
-    // Nobody waits while engines are idle, however much they had.
+    // No request is rejected while engines are idle, no matter how much its workspace has got.
     let mut all = engines(12);
     for engine in &mut all {
         engine.load.running = 18;
@@ -210,8 +213,8 @@
 
 #[test]
 fn pick_backlog_counts_for_the_shortest_target() {
-    // Long prompts with a target of 400 ms share engines with short ones of 250 ms. A
-    // backlog that the long ones can bear makes every short one late.
+    // Long prompts with a target of 400 ms share engines with short ones of 250 ms. A backlog that
+    // is acceptable for the long ones makes every short one late.
     let mut all = engines(2);
     for engine in &mut all {
         engine.load.unread = 26_000;
@@ -231,23 +234,23 @@
 #[test]
 fn pick_failing_engine_last() {
     let mut all = engines(12);
-    let home = run(&all, 0.0).replica;
-    let engine = all.iter_mut().find(|e| e.id == home).unwrap();
+    let preferred = run(&all, 0.0).replica;
+    let engine = all.iter_mut().find(|e| e.id == preferred).unwrap();
     engine.penalty = 1.5;
-    assert_ne!(run(&all, 0.0).replica, home);
+    assert_ne!(run(&all, 0.0).replica, preferred);
 }
 
 #[test]
-fn pick_moves_little_when_an_engine_goes() {
-    // Every router computes homes from the list; when one engine of twelve goes, the parts
-    // kept at the others must stay where they are.
+fn pick_moves_little_when_an_engine_leaves() {
+    // Every router computes the preferred replicas from the list. When one engine of twelve leaves,
+    // the parts cached at the others must stay there.
     let all = engines(12);
-    let homes = |all: &[Candidate]| -> Vec<ReplicaId> {
-        let mut homes = Vec::new();
+    let preferred = |all: &[Candidate]| -> Vec<ReplicaId> {
+        let mut preferred = Vec::new();
         for id in 0..300 {
             let mut prompt = prompt();
             prompt.parts[1].id = id;
-            let wish = PlacementRequest {
+            let request = PlacementRequest {
                 answer: AnswerState::NotStarted,
                 prompt: &prompt,
                 target: Span::millis(400),
@@ -256,23 +259,23 @@
                 load_interval: Span::millis(100),
                 tuning: &Tuning::default(),
             };
-            match pick(all, &wish) {
-                Pick::Run(choice) => homes.push(choice.replica),
+            match pick(all, &request) {
+                Pick::Run(choice) => preferred.push(choice.replica),
                 other => panic!("{other:?}"),
             }
         }
-        homes
+        preferred
     };
-    let (before, after) = (homes(&all), homes(&all[1..]));
+    let (before, after) = (preferred(&all), preferred(&all[1..]));
     let lost = before.iter().filter(|id| **id == all[0].id).count();
     let moved = before.iter().zip(&after).filter(|(a, b)| a != b).count();
     assert_eq!(moved, lost);
     assert!((10..45).contains(&lost), "{lost}");
 }
 
-/// Guards against a workspace being refused its even part while engines are half idle.
+/// Guards against a workspace being rejected within its max-min share while engines are half idle.
 #[test]
-fn pick_even_part_at_a_half_idle_engine() {
+fn pick_max_min_share_at_a_half_idle_engine() {
     let mut all = engines(4);
     for engine in &mut all {
         engine.slots = 12;
@@ -283,7 +286,7 @@
         total: 300,
         output: 100,
     };
-    let wish = PlacementRequest {
+    let request = PlacementRequest {
         answer: AnswerState::NotStarted,
         prompt: &short,
         target: Span::millis(400),
@@ -296,14 +299,14 @@
         load_interval: Span::millis(100),
         tuning: &Tuning::default(),
     };
-    let picked = pick(&all, &wish);
+    let picked = pick(&all, &request);
     assert!(matches!(picked, Pick::Run(_)), "{picked:?}");
 }
 
-/// Guards against a stream that is cut in the middle as its workspace had its share and engines are
+/// Guards against a stream that is aborted because its workspace has had its share and engines are
 /// full.
 #[test]
-fn pick_begun_where_all_are_full() {
+fn pick_started_where_all_are_full() {
     let mut all = engines(3);
     for engine in &mut all {
         engine.load.running = 60;
@@ -316,18 +319,19 @@
     ));
 }
 
-/// Guards against a stream that waits at the home of its prompt while another engine has a place.
+/// Guards against a stream that waits at its preferred replica while another engine has a free
+/// slot.
 #[test]
-fn pick_begun_shortest_queue() {
+fn pick_started_shortest_queue() {
     let mut all = engines(6);
-    let home = run(&all, 0.0).replica;
+    let preferred = run(&all, 0.0).replica;
     for engine in &mut all {
         engine.load.running = 60;
     }
-    let free = all.iter().find(|e| e.id != home).unwrap().id.clone();
+    let free = all.iter().find(|e| e.id != preferred).unwrap().id.clone();
     fill(&mut all, &free, 40);
     let Pick::Run(choice) = choose_for(&all, 5.0, AnswerState::Started) else {
-        panic!("refused");
+        panic!("rejected");
     };
     assert_eq!(choice.replica, free);
 }
--- a/crates/policy/tests/placement/plain.rs
+++ b/crates/policy/tests/placement/plain.rs
@@ -14,7 +14,7 @@
     Span, //
 };
 
-fn server(name: &str, running: u32) -> PlainCandidate {
+fn candidate(name: &str, running: u32) -> PlainCandidate {
     let id: ReplicaId = name.parse().unwrap();
     PlainCandidate {
         key: ReplicaKey::of(&id),
@@ -30,8 +30,8 @@
     }
 }
 
-fn chosen(servers: &[PlainCandidate], roll: u64) -> String {
-    match pick_plain(servers, AnswerState::NotStarted, roll) {
+fn chosen(candidates: &[PlainCandidate], roll: u64) -> String {
+    match pick_plain(candidates, AnswerState::NotStarted, roll) {
         Pick::Run(choice) => choice.replica.to_string(),
         Pick::Reject { .. } => "none".to_owned(),
     }
@@ -39,66 +39,66 @@
 
 #[test]
 fn plain_least_loaded() {
-    let servers = [server("a", 4), server("b", 1), server("c", 5)];
-    assert!((0..9).all(|roll| chosen(&servers, roll) == "b"));
+    let candidates = [candidate("a", 4), candidate("b", 1), candidate("c", 5)];
+    assert!((0..9).all(|roll| chosen(&candidates, roll) == "b"));
 }
 
 #[test]
-fn plain_equal_ones_share() {
-    let servers = [server("a", 0), server("b", 0), server("c", 0)];
-    let all: Vec<String> = (0..3).map(|roll| chosen(&servers, roll)).collect();
+fn plain_equal_replicas_take_turns() {
+    let candidates = [candidate("a", 0), candidate("b", 0), candidate("c", 0)];
+    let all: Vec<String> = (0..3).map(|roll| chosen(&candidates, roll)).collect();
     assert_eq!(all, ["a", "b", "c"]);
 }
 
 #[test]
-fn plain_slow_one_spared() {
-    // One replica takes eight times as long and says that it is well. By its load alone it
-    // would get a third of the requests, each of which is late.
+fn plain_avoids_slow_replica() {
+    // One replica takes eight times as long and reports no failures. By its load alone it would get
+    // a third of the requests, each of which would be late.
     let mut times = Latencies::default();
-    let mut servers = [server("a", 0), server("b", 2), server("c", 2)];
+    let mut candidates = [candidate("a", 0), candidate("b", 2), candidate("c", 2)];
     for _ in 0..60 {
-        times.record(servers[0].key, Span::millis(480));
+        times.record(candidates[0].key, Span::millis(480));
     }
-    servers[0].mean_latency_s = times.of(servers[0].key);
-    assert_ne!(chosen(&servers, 0), "a");
+    candidates[0].mean_latency_s = times.of(candidates[0].key);
+    assert_ne!(chosen(&candidates, 0), "a");
 }
 
 #[test]
-fn plain_failing_one_spared() {
-    let mut servers = [server("a", 0), server("b", 1)];
-    servers[0].penalty = 1.0;
-    assert_eq!(chosen(&servers, 0), "b");
+fn plain_avoids_failing_replica() {
+    let mut candidates = [candidate("a", 0), candidate("b", 1)];
+    candidates[0].penalty = 1.0;
+    assert_eq!(chosen(&candidates, 0), "b");
 }
 
 #[test]
 fn plain_all_full() {
-    let servers = [server("a", 15), server("b", 16)];
-    assert_eq!(chosen(&servers, 0), "none");
+    let candidates = [candidate("a", 15), candidate("b", 16)];
+    assert_eq!(chosen(&candidates, 0), "none");
     assert_eq!(chosen(&[], 0), "none");
 }
 
 #[test]
-fn plain_new_one_is_tried() {
-    // A replica joins a service whose others answer in a millisecond. Taken for as slow as
-    // one of which nothing is known, it would get nothing while they are idle.
+fn plain_new_replica_gets_requests() {
+    // A replica joins a service whose others respond within a millisecond. If it counted as slow as
+    // an unknown service, it would get no requests while they are idle.
     let mut times = Latencies::default();
-    let mut servers = [server("old", 1), server("new", 0)];
+    let mut candidates = [candidate("old", 1), candidate("new", 0)];
     for _ in 0..60 {
-        times.record(servers[0].key, Span::millis(1));
+        times.record(candidates[0].key, Span::millis(1));
     }
-    for server in &mut servers {
-        server.mean_latency_s = times.of(server.key);
+    for candidate in &mut candidates {
+        candidate.mean_latency_s = times.of(candidate.key);
     }
-    assert_eq!(chosen(&servers, 0), "new");
+    assert_eq!(chosen(&candidates, 0), "new");
 }
 
-/// Guards against an answer that has begun and finds no replica as all are full.
+/// Guards against an answer that has started and gets no replica because all are full.
 #[test]
-fn plain_begun_where_all_are_full() {
-    let servers = [server("a", 20), server("b", 15)];
-    assert_eq!(chosen(&servers, 0), "none");
-    let Pick::Run(choice) = pick_plain(&servers, AnswerState::Started, 0) else {
-        panic!("refused");
+fn plain_started_where_all_are_full() {
+    let candidates = [candidate("a", 20), candidate("b", 15)];
+    assert_eq!(chosen(&candidates, 0), "none");
+    let Pick::Run(choice) = pick_plain(&candidates, AnswerState::Started, 0) else {
+        panic!("rejected");
     };
     assert_eq!(choice.replica.as_str(), "b");
 }
--- a/crates/policy/tests/placement/quota.rs
+++ b/crates/policy/tests/placement/quota.rs
@@ -1,4 +1,4 @@
-//! Shares of the capacity.
+//! Fair shares of the capacity.
 
 use policy::{
     placement::Bound,
@@ -17,7 +17,7 @@
 
 const LARGE: WorkspaceKey = WorkspaceKey(1);
 const SMALL: WorkspaceKey = WorkspaceKey(2);
-/// What a request draws: a quarter of its workspace's requests stand before it.
+/// The roll of a request: a quarter of its workspace's requests come before it.
 const ROLL: f64 = 0.25;
 
 fn at(ms: u64) -> Time {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn level_shares_the_rest() {
+fn max_min_share_divides_the_rest() {
     assert_eq!(max_min_share(&[], 10.0), 10.0);
     assert_eq!(max_min_share(&[5.0, 5.0], 6.0), 3.0);
     assert_eq!(max_min_share(&[1.0, 9.0, 20.0], 21.0), 11.0);
@@ -92,14 +92,14 @@
     assert!(quota.standing(LARGE, ROLL, at(2_100)).share < 0.1);
 }
 
-/// Returns how many tokens of those that a workspace asks for stand within its even part.
-fn within(quota: &mut Quota, workspace: WorkspaceKey, asked: f64, now: Time) -> f64 {
+/// Returns how many of a workspace's requested tokens are within its max-min share.
+fn within(quota: &mut Quota, workspace: WorkspaceKey, requested: f64, now: Time) -> f64 {
     let rolls = (0..1_000).map(|i| f64::from(i) / 1_000.0);
     let within = rolls.filter(|roll| quota.standing(workspace, *roll, now).max_min_ratio < 1.0);
-    within.count() as f64 / 1_000.0 * asked
+    within.count() as f64 / 1_000.0 * requested
 }
 
-/// Guards against counts that are dropped before the next ones come.
+/// Guards against counts that expire before the next report.
 #[test]
 fn quota_counts_of_a_large_fleet() {
     let mut quota = quota();
@@ -115,9 +115,9 @@
     assert!(quota.standing(LARGE, ROLL, at(4_400)).share > 1.4);
 }
 
-/// Guards against uneven parts where engines give more than the configuration states.
+/// Guards against unequal shares where engines serve more than the configured capacity.
 #[test]
-fn quota_even_part_of_what_was_given() {
+fn quota_max_min_share_of_served_tokens() {
     let mut quota = quota();
     quota.record_requested(LARGE, 90_000.0, at(0));
     quota.record_served(LARGE, 6_500.0, at(0));
@@ -127,12 +127,12 @@
     assert!(share(&mut quota, LARGE) > 1.0 && share(&mut quota, SMALL) > 1.0);
     let large = within(&mut quota, LARGE, 90_000.0, at(60));
     let small = within(&mut quota, SMALL, 9_000.0, at(60));
-    // A quarter of the window's 9,000 tokens belongs to the last second.
+    // A quarter of the 9,000 tokens in the window belongs to the last second.
     assert!((1_080.0..1_180.0).contains(&large), "{large}");
     assert!((1_080.0..1_180.0).contains(&small), "{small}");
 }
 
-/// Guards against a new flood being let through whole, as it is short of the whole window.
+/// Guards against a new flood being admitted in full because it is small over the whole window.
 #[test]
 fn quota_flood_that_begins() {
     let mut quota = quota();
@@ -148,14 +148,14 @@
     assert!(new <= old * 1.5, "{new} {old}");
 }
 
-/// Guards against a refusal by slots that looks like one by the even part, so that nobody can tell why a
-/// workspace got less than another.
+/// Guards against a rejection for lack of slots that looks like one by the max-min share, so that
+/// operators can't tell why a workspace got less than another.
 #[test]
-fn tally_tells_refusals_apart() {
+fn tally_distinguishes_rejections() {
     let mut tally = Tally::default();
     let (large, small) = ("w1".parse().unwrap(), "w2".parse().unwrap());
-    let at = |even| UsageStanding {
-        max_min_ratio: even,
+    let at = |max_min_ratio| UsageStanding {
+        max_min_ratio,
         ..UsageStanding::default()
     };
     tally.record_started(&large, 10);
--- a/crates/policy/tests/placement/roster.rs
+++ b/crates/policy/tests/placement/roster.rs
@@ -1,4 +1,4 @@
-//! Which replicas take work.
+//! Which replicas take requests.
 
 use policy::{
     placement::ReplicaKey,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn roster_missing_is_gone() {
+fn roster_missing_is_removed() {
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
     assert_eq!(list(&mut roster, &["a"], 500), [id("b")]);
@@ -39,8 +39,8 @@
 
 #[test]
 fn roster_outage_keeps_entries() {
-    // The store was away, and all entries lapsed meanwhile. Its first list is empty, though
-    // every replica lives; taken at its word, nothing is served for two seconds.
+    // All entries lapsed during an outage of the store. Its first list is empty though every
+    // replica is running; if it were trusted, nothing would be served for two seconds.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
     roster.read_failed();
@@ -64,29 +64,29 @@
 }
 
 #[test]
-fn roster_draining_is_told_to_peers() {
-    // The store turns one router away while it serves the others. A replica that leaves
-    // meanwhile would get that router's requests until it ends.
-    let mut near = Roster::default();
-    list(&mut near, &["a", "b"], 0);
-    near.apply_list([(id("a"), (), true), (id("b"), (), false)], at(400));
-    let mut far = Roster::default();
-    list(&mut far, &["a", "b"], 0);
+fn roster_draining_is_reported_to_peers() {
+    // The store rejects one router and serves the others. Without a report of its peers, that
+    // router would send requests to a replica that leaves meanwhile until it ends.
+    let mut up_to_date = Roster::default();
+    list(&mut up_to_date, &["a", "b"], 0);
+    up_to_date.apply_list([(id("a"), (), true), (id("b"), (), false)], at(400));
+    let mut behind = Roster::default();
+    list(&mut behind, &["a", "b"], 0);
     assert_eq!(
-        far.apply_departures(&near.departures(at(500)), at(500)),
+        behind.apply_departures(&up_to_date.departures(at(500)), at(500)),
         [id("a")]
     );
-    assert_eq!(ready(&far), ["b"]);
-    assert!(far
-        .apply_departures(&near.departures(at(600)), at(600))
+    assert_eq!(ready(&behind), ["b"]);
+    assert!(behind
+        .apply_departures(&up_to_date.departures(at(600)), at(600))
         .is_empty());
 }
 
 #[test]
-fn roster_draining_when_first_seen_is_told() {
-    // A replica joins, and drains a second later. One router read the list between the two;
-    // the next reader sees it for the first time, as draining. Nobody told the first, which
-    // sent it requests until its own next read, 3 s after the replica's word.
+fn roster_draining_when_first_seen_is_reported() {
+    // A replica joins, and drains a second later. One router read the list in between; the next
+    // reader sees it for the first time as draining. Without a report, the first router would send
+    // it requests until its own next read, 3 s later.
     let mut early = Roster::default();
     list(&mut early, &["a", "b"], 0);
     let mut late = Roster::default();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn roster_left_is_forgotten() {
+fn roster_departure_expires() {
     let mut roster = Roster::default();
     list(&mut roster, &["a"], 0);
     list(&mut roster, &[], 100);
@@ -110,8 +110,8 @@
 
 #[test]
 fn roster_late_list_does_not_bring_back() {
-    // A router's read of the list is under way while a peer tells that a replica leaves. The
-    // list was made before, and brought the replica back until the next read, 3 s later.
+    // A router is reading the list while a peer reports that a replica is leaving. The list was
+    // made before that, and must not bring the replica back until the next read, 3 s later.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
     roster.apply_departures(&[ReplicaKey::of(&id("a"))], at(100));
@@ -122,27 +122,27 @@
     assert_eq!(ready(&roster), ["a", "b"]);
 }
 
-/// Draws a number from 0 to 1 for a router's look.
+/// Draws a number from 0 to 1 for a router's check.
 fn roll(router: usize, ms: u64) -> f64 {
     xxh3_64(format!("{router} {ms}").as_bytes()) as f64 / u64::MAX as f64
 }
 
-/// Plays a minute of routers that speak every so often; returns when the list was read.
-fn reads(routers: usize, every: u64) -> Vec<u64> {
+/// Runs routers for a minute that report at an interval. Returns when the list was read.
+fn reads(routers: usize, interval: u64) -> Vec<u64> {
     let mut all: Vec<Roster<()>> = (0..routers).map(|_| Roster::default()).collect();
     let mut reads = Vec::new();
     for ms in (0..60_000).step_by(10) {
         for (n, router) in all.iter_mut().enumerate() {
-            let looks = (ms + n as u64 * 10) % Roster::<()>::POLL_INTERVAL.as_millis() == 0;
-            if looks && router.is_due(roll(n, ms), routers, at(ms)) {
+            let checks = (ms + n as u64 * 10) % Roster::<()>::POLL_INTERVAL.as_millis() == 0;
+            if checks && router.is_due(roll(n, ms), routers, at(ms)) {
                 list(router, &["a"], ms);
                 reads.push(ms);
             }
         }
-        for speaker in (0..routers).filter(|n| (ms + *n as u64 * 10) % every == 0) {
-            let (age, digest) = (all[speaker].age(at(ms)), all[speaker].digest());
+        for reporter in (0..routers).filter(|n| (ms + *n as u64 * 10) % interval == 0) {
+            let (age, digest) = (all[reporter].age(at(ms)), all[reporter].digest());
             let Some(age) = age else { continue };
-            for other in (0..routers).filter(|n| *n != speaker) {
+            for other in (0..routers).filter(|n| *n != reporter) {
                 all[other].peer_list(age, digest, at(ms));
             }
         }
@@ -157,9 +157,9 @@
 
 #[test]
 fn roster_read_in_turns() {
-    // Every router read the list in a rhythm of its own, 3 s long. After an outage that all
-    // had seen end at the same moment they read together, and a replica that left just after
-    // got requests for 2 s.
+    // If every router reads the list at its own interval of 3 s, an outage that all of them see end
+    // at the same moment makes them read together afterwards, and a replica that left just after a
+    // read gets requests for 2 s.
     let reads = reads(9, 100);
     assert!(longest(&reads) <= 1_000, "{}", longest(&reads));
     // Nine routers that read every 0.45 s would be 1,200 reads in a minute.
@@ -168,12 +168,12 @@
 
 #[test]
 fn roster_read_in_turns_by_many() {
-    // Each of 60 routers drew a time to wait, up to 2 or 6 s, when it had read. In the end all
-    // waited for long, nobody read for seconds, and replicas that had left got requests for
-    // 3.2 s.
+    // If each of 60 routers drew a time to wait of up to 2 or 6 s after its read, in the end all
+    // would wait for long, none would read for seconds, and replicas that had left would get
+    // requests for 3.2 s.
     let reads = reads(60, 300);
     assert!(longest(&reads) <= 1_300, "{}", longest(&reads));
-    // Sixty that read every 4 s would be 900 reads in a minute, beside the turns.
+    // Sixty that read every 4 s would be 900 reads in a minute, in addition to the turns.
     assert!(reads.len() < 450, "{}", reads.len());
 }
 
@@ -187,16 +187,16 @@
     assert!(!roster.is_due(0.9, 2, at(450)));
     roster.peer_read(Span::millis(50), at(550));
     assert!(!roster.is_due(0.0, 2, at(600)));
-    // What others read is no list of its own.
+    // A read of other routers doesn't count as a list of its own.
     roster.peer_read(Span::ZERO, at(4_000));
     assert!(roster.is_due(0.9, 2, at(4_000)));
 }
 
 #[test]
 fn roster_store_down_for_all() {
-    // The store is silent for eight seconds. Each of 300 routers that has had no list for four
-    // called it again and again, 450 times in ten seconds, though a call of a few would have told
-    // all that it is back.
+    // The store is silent for eight seconds. If each of 300 routers without a list for four seconds
+    // called it, that would be 450 calls in ten seconds, though a few calls suffice to find out
+    // that it is back.
     let mut all: Vec<Roster<()>> = (0..300).map(|_| Roster::default()).collect();
     for router in &mut all {
         list(router, &["a"], 0);
@@ -210,12 +210,12 @@
             }
         }
     }
-    // 30 calls a second at the most, once it has been due for half a second.
+    // At most 30 calls a second, once a read has been due for half a second.
     assert!((8..240).contains(&calls), "{calls}");
 }
 
-/// Returns what a router tells a peer of its list.
-fn whole(roster: &Roster<()>) -> Vec<(ReplicaId, (), bool)> {
+/// Returns the list that a router sends to a peer.
+fn full_list(roster: &Roster<()>) -> Vec<(ReplicaId, (), bool)> {
     let all = roster
         .all()
         .map(|(id, (), draining)| (id.clone(), (), draining));
@@ -224,9 +224,9 @@
 
 #[test]
 fn roster_list_of_a_peer() {
-    // Sixty routers each read the list every 4 s, which was three quarters of all reads, and
-    // still knew of a new replica only then. Now a few read, and the others get a list that
-    // differs from theirs from these.
+    // If each of sixty routers read the list every 4 s, that would be three quarters of all reads,
+    // and they would still learn of a new replica only then. Instead a few read, and the others get
+    // lists that differ from theirs from these.
     let mut reader = Roster::default();
     let mut other = Roster::default();
     list(&mut reader, &["a", "b"], 0);
@@ -235,11 +235,11 @@
     let age = reader.age(at(1_300)).unwrap();
     assert!(other.peer_list(age, reader.digest(), at(1_300)));
     assert_eq!(
-        other.apply_peer_list(whole(&reader), age, at(1_310)),
+        other.apply_peer_list(full_list(&reader), age, at(1_310)),
         [id("a")]
     );
     assert_eq!(ready(&other), ["b", "c"]);
-    // It now has the same, and is asked for it no more.
+    // Its list is the same now, so it isn't asked for it again.
     assert_eq!(other.age(at(1_310)), Some(Span::millis(300)));
     assert!(!other.peer_list(Span::millis(310), reader.digest(), at(1_320)));
 }
@@ -254,14 +254,14 @@
     list(&mut roster, &["b"], 500);
     assert!(!roster.peer_list(Span::millis(600), peer.digest(), at(600)));
     assert!(roster
-        .apply_peer_list(whole(&peer), Span::millis(600), at(600))
+        .apply_peer_list(full_list(&peer), Span::millis(600), at(600))
         .is_empty());
     assert_eq!(ready(&roster), ["b"]);
 }
 
 #[test]
 fn roster_same_list_of_a_peer() {
-    // Where nothing changes nobody needs to ask anybody, the store included.
+    // While nothing changes, neither the store nor a peer needs to be asked.
     let mut reader = Roster::default();
     let mut other = Roster::default();
     list(&mut other, &["a", "b"], 0);
@@ -272,24 +272,24 @@
     }
 }
 
-fn start(name: &str, born: u64, draining: bool) -> Listed<()> {
+fn start(name: &str, started_at: u64, draining: bool) -> Listed<()> {
     Listed {
         id: id(name),
-        key: key(name, born),
+        key: key(name, started_at),
         value: (),
         draining,
     }
 }
 
-fn key(name: &str, born: u64) -> ReplicaKey {
-    ReplicaKey::of_start(&id(name), Some(StartedAt(born)))
+fn key(name: &str, started_at: u64) -> ReplicaKey {
+    ReplicaKey::of_start(&id(name), Some(StartedAt(started_at)))
 }
 
 #[test]
-fn roster_started_again_under_its_id() {
-    // A replica drains, ends, and starts again under its id between two reads of the list.
-    // Taken for the start that was draining it got no work for 2.4 s, though the list said
-    // that it was ready.
+fn roster_restart_under_the_same_id() {
+    // A replica drains, ends, and restarts under its id between two reads of the list. If it were
+    // taken for the draining incarnation, it would get no requests for 2.4 s though the list says
+    // that it is ready.
     let mut roster = Roster::default();
     roster.apply_list([start("a", 1, false)], at(0));
     assert_eq!(roster.apply_list([start("a", 1, true)], at(500)), [id("a")]);
@@ -298,16 +298,16 @@
         [id("a")]
     );
     assert_eq!(ready(&roster), ["a"]);
-    // Nothing is said of the new start where nothing changes.
+    // While nothing changes, the new incarnation isn't reported.
     assert!(roster
         .apply_list([start("a", 2, false)], at(1_500))
         .is_empty());
 }
 
 #[test]
-fn roster_word_on_the_former_start() {
-    // A peer says that a replica left, and means the start before. The one that runs now
-    // would lose its work.
+fn roster_report_on_an_earlier_incarnation() {
+    // A peer reports that a replica left, and means the earlier incarnation. The running one must
+    // not lose its requests.
     let mut roster = Roster::default();
     roster.apply_list([start("a", 2, false)], at(0));
     assert!(roster.apply_departures(&[key("a", 1)], at(100)).is_empty());
@@ -318,8 +318,9 @@
 
 #[test]
 fn roster_restart_shows_in_the_digest() {
-    // Two routers know a replica by different starts. Asked for no list, the one that is
-    // behind would keep the loads and speeds of the former start.
+    // Two routers know different incarnations of a replica. If their digests were equal, the one
+    // that is behind would not ask for the list, and would keep the loads and speeds of the earlier
+    // incarnation.
     let (mut one, mut other) = (Roster::default(), Roster::default());
     one.apply_list([start("a", 1, false)], at(0));
     other.apply_list([start("a", 2, false)], at(0));
@@ -327,10 +328,10 @@
 }
 
 #[test]
-fn roster_own_read_of_leaving_is_final() {
-    // A replica says that it is leaving. The store goes away, and when it is back an entry
-    // from before stands there for a while. The replica would get requests that it can't
-    // finish, from a router which knew better.
+fn roster_local_read_of_leaving_is_final() {
+    // A replica announces that it is leaving. After an outage of the store an earlier entry
+    // reappears for a while. A router that read the announcement must not send the replica requests
+    // that it can't finish.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
     roster.apply_list([(id("a"), (), true), (id("b"), (), false)], at(500));
@@ -342,9 +343,9 @@
 }
 
 #[test]
-fn roster_peers_word_of_leaving_is_not() {
-    // A peer missed a replica in a list that was made just after an outage, and said that it
-    // left. The replica lives, and the store still lists it.
+fn roster_peer_report_of_leaving_is_not_final() {
+    // A peer missed a replica in a list that was made just after an outage, and reported that it
+    // left. The replica is running, and the store still lists it.
     let mut roster = Roster::default();
     list(&mut roster, &["a"], 0);
     roster.apply_departures(&[ReplicaKey::of(&id("a"))], at(100));
@@ -355,10 +356,10 @@
 }
 
 #[test]
-fn roster_turned_away_alone() {
-    // The store turns this router away for some seconds and serves the others, so no entry
-    // lapsed. A replica left just after; this router kept it for 2.3 s, as after an outage of
-    // the store, and sent it requests that it could not finish.
+fn roster_only_this_router_rejected() {
+    // The store rejects this router for some seconds and serves the others, so no entry lapsed. A
+    // replica that leaves just after must not be kept for 2.3 s, as it would be after an outage of
+    // the store, since it could not finish the requests it gets.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
     for ms in (500..4_500).step_by(500) {
@@ -372,8 +373,8 @@
 
 #[test]
 fn roster_outage_that_a_peer_saw_end() {
-    // After an outage a peer reads the list first. The entries that lapsed are not back yet,
-    // and this router, which was turned away like all others, must keep them too.
+    // After an outage a peer reads the list first. The lapsed entries are not back yet, and this
+    // router, whose reads failed like those of all others, must keep them too.
     let mut roster = Roster::default();
     list(&mut roster, &["a", "b"], 0);
     roster.read_failed();
@@ -383,7 +384,7 @@
     assert_eq!(list(&mut roster, &["a"], 6_400), [id("b")]);
 }
 
-/// Takes a list that was read from the store at a revision.
+/// Applies a list that was read from the store at a revision.
 fn list_at(
     roster: &mut Roster<()>,
     era: u64,
@@ -396,22 +397,22 @@
     list(roster, names, ms)
 }
 
-/// Guards against replicas that get no work for seconds after the store came back from a copy which
-/// lacks them, without any read that failed.
+/// Guards against replicas that get no requests for seconds after the store came back from a copy
+/// without them, though no read failed.
 #[test]
-fn roster_store_went_back() {
+fn roster_store_returned() {
     let mut roster = Roster::default();
     list_at(&mut roster, 1, 90, &["a", "b", "c"], 0);
     assert!(list_at(&mut roster, 2, 60, &["a"], 500).is_empty());
     assert!(list_at(&mut roster, 2, 61, &["a"], 1_000).is_empty());
     assert_eq!(ready(&roster), ["a", "b", "c"]);
     assert!(roster.departures(at(1_000)).is_empty());
-    // One that is still missing when all that live are back is gone.
+    // A replica that is still missing when all running ones are back is removed.
     assert_eq!(list_at(&mut roster, 2, 70, &["a", "b"], 2_900), [id("c")]);
     assert_eq!(ready(&roster), ["a", "b"]);
 }
 
-/// Guards against the same where the store names no era: its revision falls.
+/// Guards against the same if the store reports no era: its revision decreases.
 #[test]
 fn roster_revision_fell() {
     let mut roster = Roster::default();
@@ -421,10 +422,10 @@
     assert_eq!(list_at(&mut roster, 0, 70, &["a"], 2_900), [id("b")]);
 }
 
-/// Guards against replicas that a router drops by the list of a peer that read it first after the store
-/// came back, and by its own next one.
+/// Guards against replicas that a router drops because of the list of a peer that read it first
+/// after the store came back, or because of its own next list.
 #[test]
-fn roster_peer_named_a_newer_era() {
+fn roster_peer_reports_a_newer_era() {
     let mut roster = Roster::default();
     list_at(&mut roster, 1, 90, &["a", "b"], 0);
     roster.observe_peer_era(Era(2), at(500));
@@ -438,7 +439,7 @@
     assert_eq!(list_at(&mut roster, 2, 70, &["a"], 2_900), [id("b")]);
 }
 
-/// Guards against a peer's list from before the store came back, which comes after one from later.
+/// Guards against a peer's list from before the store came back that arrives after a later one.
 #[test]
 fn roster_peers_list_of_an_older_era() {
     let mut roster = Roster::default();
@@ -447,10 +448,10 @@
     assert!(roster.accepts_list_of(Era(2), at(100)));
 }
 
-/// Guards against a peer that names an era far too high: a later return of the store would not be
-/// noticed, or missing replicas would be kept for good.
+/// Guards against a peer that reports an era far too high: a later return of the store would go
+/// unnoticed, or missing replicas would be kept forever.
 #[test]
-fn roster_peer_named_a_wrong_era() {
+fn roster_peer_reports_a_wrong_era() {
     let mut roster = Roster::default();
     list_at(&mut roster, 1, 90, &["a", "b"], 0);
     for ms in (100..4_000).step_by(100) {
@@ -462,10 +463,10 @@
     assert_eq!(ready(&roster), ["a", "c"]);
 }
 
-/// Guards against requests to a replica that has left, as the store came back from a copy in which it
-/// still stands.
+/// Guards against requests to a replica that has left, because the store came back from a copy that
+/// still has its entry.
 #[test]
-fn roster_left_one_in_an_older_copy() {
+fn roster_departed_replica_in_an_older_copy() {
     let mut roster = Roster::default();
     list_at(&mut roster, 1, 80, &["a", "b"], 0);
     assert_eq!(list_at(&mut roster, 1, 90, &["a"], 500), [id("b")]);
@@ -473,17 +474,17 @@
         list_at(&mut roster, 2, 60, &["a", "b"], ms);
         assert_eq!(ready(&roster), ["a"], "{ms}");
     }
-    // It lives if its entry is still there when those of the dead have lapsed.
+    // It is running if its entry is still there when those of ended replicas have lapsed.
     list_at(&mut roster, 2, 70, &["a", "b"], 9_100);
     assert_eq!(ready(&roster), ["a", "b"]);
 }
 
-/// Replicas of [`after_a_return`]; the last of them is gone for good when the store is back.
+/// Replicas of [`after_a_return`]; the last of them has ended when the store is back.
 const REPLICAS: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
 
-/// Returns what the store lists: from 5 s on it is back from a copy with one replica, the others come
-/// back one after the other within two seconds, and the last never does.
-fn stored(ms: u64) -> Vec<&'static str> {
+/// Returns what the store lists. At 5 s it is back from a copy with one replica; the others come
+/// back one by one within two seconds, except for the last.
+fn listed_by_store(ms: u64) -> Vec<&'static str> {
     let back = match ms {
         0..5_000 => REPLICAS.len(),
         _ => (1 + (ms - 5_000) as usize / 450).min(REPLICAS.len() - 1),
@@ -491,33 +492,33 @@
     REPLICAS[..back].to_vec()
 }
 
-/// Plays routers that read the list in turns and tell each other of it while the store comes back from
-/// an older copy, without a read that fails. Returns the most that any of them lacked of those that
-/// live, and how many still had the dead one at the end.
-fn after_a_return(routers: usize, every: u64) -> (usize, usize) {
+/// Runs routers that read the list in turns and report to each other while the store comes back
+/// from an older copy, without a failed read. Returns the largest number of running replicas that
+/// any router lacked, and how many routers still had the ended one at the end.
+fn after_a_return(routers: usize, interval: u64) -> (usize, usize) {
     let mut all: Vec<Roster<()>> = (0..routers).map(|_| Roster::default()).collect();
-    let living = &REPLICAS[..REPLICAS.len() - 1];
-    let mut lacked = 0;
+    let running = &REPLICAS[..REPLICAS.len() - 1];
+    let mut missing = 0;
     for ms in (0..14_000).step_by(10) {
         let now = at(ms);
         for (n, router) in all.iter_mut().enumerate() {
-            let looks = (ms + n as u64 * 10) % Roster::<()>::POLL_INTERVAL.as_millis() == 0;
-            if looks && router.is_due(roll(n, ms), routers, now) {
+            let checks = (ms + n as u64 * 10) % Roster::<()>::POLL_INTERVAL.as_millis() == 0;
+            if checks && router.is_due(roll(n, ms), routers, now) {
                 let (era, number) = if ms < 5_000 {
                     (1, 90)
                 } else {
                     (2, 60 + ms / 100)
                 };
-                list_at(router, era, number, &stored(ms), ms);
+                list_at(router, era, number, &listed_by_store(ms), ms);
             }
         }
-        for speaker in (0..routers).filter(|n| (ms + *n as u64 * 10) % every == 0) {
-            let Some(age) = all[speaker].age(now) else {
+        for reporter in (0..routers).filter(|n| (ms + *n as u64 * 10) % interval == 0) {
+            let Some(age) = all[reporter].age(now) else {
                 continue;
             };
-            let (digest, era) = (all[speaker].digest(), all[speaker].era());
-            let (list, left) = (whole(&all[speaker]), all[speaker].departures(now));
-            for other in (0..routers).filter(|n| *n != speaker) {
+            let (digest, era) = (all[reporter].digest(), all[reporter].era());
+            let (list, left) = (full_list(&all[reporter]), all[reporter].departures(now));
+            for other in (0..routers).filter(|n| *n != reporter) {
                 let router = &mut all[other];
                 router.observe_peer_era(era, now);
                 router.apply_departures(&left, now);
@@ -527,20 +528,20 @@
             }
         }
         for router in all.iter().filter(|r| r.age(now).is_some() && ms > 1_000) {
-            let has = living.iter().filter(|name| router.takes_work(&id(name)));
-            lacked = lacked.max(living.len() - has.count());
+            let has = running.iter().filter(|name| router.takes_work(&id(name)));
+            missing = missing.max(running.len() - has.count());
         }
     }
-    let dead = id(REPLICAS[REPLICAS.len() - 1]);
-    let keep = all.iter().filter(|r| r.takes_work(&dead)).count();
-    (lacked, keep)
+    let ended = id(REPLICAS[REPLICAS.len() - 1]);
+    let keeping = all.iter().filter(|r| r.takes_work(&ended)).count();
+    (missing, keeping)
 }
 
-/// Guards against any router of a fleet dropping replicas that live, or keeping one that does not, as its
-/// peers learn of the store's return at other moments.
+/// Guards against any router of a fleet dropping running replicas, or keeping an ended one, as its
+/// peers learn of the store's return at different moments.
 #[test]
-fn roster_store_went_back_for_all() {
-    for (routers, every) in [(1, 100), (8, 100), (60, 300), (300, 400), (370, 400)] {
-        assert_eq!(after_a_return(routers, every), (0, 0), "{routers}");
+fn roster_store_returned_for_all() {
+    for (routers, interval) in [(1, 100), (8, 100), (60, 300), (300, 400), (370, 400)] {
+        assert_eq!(after_a_return(routers, interval), (0, 0), "{routers}");
     }
 }
