--- a/crates/policy/src/placement/board.rs
+++ b/crates/policy/src/placement/board.rs
@@ -253,10 +253,10 @@
         if self.oldest.is_none_or(|at| self.validity.is_valid(at, now)) {
             return;
         }
-        let is_valid = |report: &LoadReport| self.validity.is_valid(report.at, now);
+        let is_current = |report: &LoadReport| self.validity.is_valid(report.at, now);
         let (valid, expired) = std::mem::take(&mut self.peers)
             .into_iter()
-            .partition(|(_, report)| is_valid(report));
+            .partition(|(_, report)| is_current(report));
         self.peers = valid;
         let expired: HashMap<RouterId, LoadReport> = expired;
         for report in expired.values() {
@@ -308,9 +308,8 @@
     pub fn view(&self, now: Time) -> View {
         let valid = self.peers.values();
         let valid = valid.filter(|report| self.validity.is_valid(report.at, now));
-        let (peers, reported) = valid.fold((0, 0), |(peers, sum), report| {
-            (peers + 1, sum + report.running)
-        });
+        let (peers, reported) =
+            valid.fold((0, 0), |(n, sum), report| (n + 1, sum + report.running));
         let summary = self.summary.as_ref();
         let summary = summary.filter(|report| self.validity.is_valid(report.at, now));
         let local = self.running();
--- a/crates/policy/src/placement/engine.rs
+++ b/crates/policy/src/placement/engine.rs
@@ -63,9 +63,9 @@
 
     /// Returns the number of tokens that other requests share.
     pub fn shared_tokens(&self) -> u32 {
-        let last = self.parts.last().map_or(0, |p| p.tokens);
+        let unshared = self.parts.last().map_or(0, |p| p.tokens);
         let all: u32 = self.parts.iter().map(|p| p.tokens).sum();
-        all.saturating_sub(last)
+        all.saturating_sub(unshared)
     }
 
     /// Returns the cost in terms of the capacity that workspaces share. The configuration counts
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -211,14 +211,15 @@
         now: Time,
     ) -> f64 {
         let local = self.local.recent(workspace, now);
-        let reported = self.reported.get(&workspace).copied().unwrap_or_default();
-        let grown = local.requests - GROWTH_DEVIATIONS * local.requests.sqrt() - reported.requests;
+        let last_report = self.reported.get(&workspace).copied().unwrap_or_default();
+        let grown =
+            local.requests - GROWTH_DEVIATIONS * local.requests.sqrt() - last_report.requests;
         if grown <= 0.0 {
             return 0.0;
         }
         let each = local.tokens / local.requests;
         let prior = PRIOR_REQUESTS * each;
-        let proportion = (peers + peer_count as f64 * prior) / (reported.tokens + prior);
+        let proportion = (peers + peer_count as f64 * prior) / (last_report.tokens + prior);
         grown * each * proportion
     }
 
--- a/crates/policy/tests/actives/main.rs
+++ b/crates/policy/tests/actives/main.rs
@@ -1,4 +1,4 @@
-//! Which routers take callers, in fleets of 8 to 370.
+//! The active routers in fleets of 8 to 370.
 
 mod world;
 
@@ -10,14 +10,14 @@
     world::{
         name,
         World,
-        LEAST, //
+        ACTIVE_MIN, //
     },
 };
 
-/// The sizes that a fleet has today, and the one to design for.
+/// Fleet sizes, up to the one that the design is for.
 const SIZES: [usize; 4] = [8, 60, 300, 370];
 
-/// A fleet that has found out who takes callers.
+/// Returns a fleet that has agreed on the active routers.
 fn settled(n: usize, seed: u64) -> World {
     let mut world = World::new(n, seed);
     world.run(Span::secs(12));
@@ -30,32 +30,32 @@
 }
 
 /// Counts the routers that would send callers to a dead one.
-fn naming_dead(world: &mut World) -> usize {
+fn count_listing_dead(world: &mut World) -> usize {
     let up = world.up().into_iter();
-    up.filter(|i| world.dead_named(*i) > 0).count()
+    up.filter(|i| world.dead_listed(*i) > 0).count()
 }
 
 /// Guards against a fleet that starts at once and sends all callers to a few routers for long.
 #[test]
-fn start_nobody_knows_anybody() {
+fn start_without_known_peers() {
     for n in SIZES {
         let mut world = World::new(n, 7);
         let took = world.agree_within(Span::secs(6));
         assert!(took.is_some(), "{n} routers do not agree after 6 s");
-        assert!(world.active(n - 1).len() >= LEAST.min(n));
+        assert!(world.active(n - 1).len() >= ACTIVE_MIN.min(n));
         world.run(Span::secs(10));
-        // One word in a hundred is lost. The active ones soon hear another; those that stand by
-        // are to know enough to take an active one's place.
-        let (active, other) = world.least_known();
+        // One message in a hundred is lost. The active routers get another one soon; the standbys
+        // have to know enough to replace an active router.
+        let (active, other) = world.fewest_known();
         assert!(
             active * 100 >= n * 99,
-            "an active one of {n} knows only {active}"
+            "an active router of {n} knows only {active}"
         );
         assert!(other * 100 >= n * 95, "one of {n} knows only {other}");
     }
 }
 
-/// Guards against routers that wait for the dead, or name them to callers, after a power failure.
+/// Guards against routers that wait for dead ones, or list them to callers, after a power failure.
 #[test]
 fn start_after_all_were_killed() {
     for n in SIZES {
@@ -74,24 +74,24 @@
 
 /// Guards against callers being sent to a killed router, where each loses a second.
 #[test]
-fn silent_active_one_is_replaced() {
+fn silent_active_router_is_replaced() {
     for n in SIZES {
         let mut world = settled(n, 3);
         let dead = first_active(&mut world);
         world.kill(dead);
         world.run(Span::millis(2_500));
-        let naming = naming_dead(&mut world);
+        let listing = count_listing_dead(&mut world);
         assert!(
-            naming * 50 <= n,
-            "{naming} of {n} name a dead one after 2.5 s"
+            listing * 50 <= n,
+            "{listing} of {n} list a dead one after 2.5 s"
         );
         assert!(world.agree_within(Span::secs(5)).is_some(), "{n} disagree");
     }
 }
 
-/// Guards against the same where half of the active routers are killed at once.
+/// Guards against the same when half of the active routers are killed at once.
 #[test]
-fn half_the_active_ones_are_killed() {
+fn half_of_the_active_routers_are_killed() {
     for n in [60, 300, 370] {
         let mut world = settled(n, 5);
         let all = world.up();
@@ -100,52 +100,53 @@
             world.kill(*i);
         }
         world.run(Span::secs(4));
-        let naming = naming_dead(&mut world);
+        let listing = count_listing_dead(&mut world);
         assert!(
-            naming * 50 <= n,
-            "{naming} of {n} name a dead one after 4 s"
+            listing * 50 <= n,
+            "{listing} of {n} list a dead one after 4 s"
         );
-        assert!(world.active(n - 1).len() >= LEAST);
+        assert!(world.active(n - 1).len() >= ACTIVE_MIN);
     }
 }
 
 /// Guards against callers being sent to a router that shuts down.
 #[test]
-fn leaving_one_is_named_no_more() {
+fn leaving_router_is_not_listed() {
     for n in SIZES {
         let mut world = settled(n, 9);
         let leaving = first_active(&mut world);
         world.leave(leaving);
         world.run(Span::millis(300));
-        let gone = name(leaving);
-        let naming = world
+        let leaving_name = name(leaving);
+        let listing = world
             .up()
             .into_iter()
-            .filter(|i| world.active(*i).contains(&gone))
+            .filter(|i| world.active(*i).contains(&leaving_name))
             .count();
-        // One word in a hundred is lost.
-        assert!(naming * 20 <= n, "{naming} of {n} name the leaving one");
+        // One message in a hundred is lost.
+        assert!(listing * 20 <= n, "{listing} of {n} list the leaving one");
     }
 }
 
-/// Guards against a zone that can't reach the others and serves nobody, or disagrees afterwards.
+/// Guards against a partitioned zone that serves no callers, or disagrees with the others
+/// afterwards.
 #[test]
-fn cut_zone_serves_its_callers() {
+fn partitioned_zone_serves_its_callers() {
     let n = 300;
     let mut world = settled(n, 13);
-    world.cut.insert(2);
+    world.partitioned.insert(2);
     world.run(Span::secs(14));
-    let inside = world.active(2);
-    assert!(inside.len() >= LEAST, "{inside:?}");
-    let outside = (0..n).filter(|i| i % 5 != 2).map(name).collect::<Vec<_>>();
-    assert!(inside.iter().all(|name| !outside.contains(name)));
-    world.cut.clear();
+    let in_zone = world.active(2);
+    assert!(in_zone.len() >= ACTIVE_MIN, "{in_zone:?}");
+    let out_of_zone = (0..n).filter(|i| i % 5 != 2).map(name).collect::<Vec<_>>();
+    assert!(in_zone.iter().all(|name| !out_of_zone.contains(name)));
+    world.partitioned.clear();
     assert!(world.agree_within(Span::secs(8)).is_some());
 }
 
 /// Guards against messages of idle standbys that grow with the fleet, beyond 21 KB/s.
 #[test]
-fn words_between_routers_stay_bounded() {
+fn messages_between_routers_stay_bounded() {
     for n in SIZES {
         let mut world = settled(n, 17);
         world.reset_bytes();
@@ -154,26 +155,26 @@
             if world.is_active(i) {
                 continue;
             }
-            let (sent, got) = (world.sent[i] / 6, world.got[i] / 6);
+            let (sent, received) = (world.sent[i] / 6, world.received[i] / 6);
             assert!(
-                sent <= 21_000 && got <= 21_000,
-                "{n}: {i} sent {sent}, got {got}"
+                sent <= 21_000 && received <= 21_000,
+                "{n}: {i} sent {sent}, received {received}"
             );
         }
     }
 }
 
-/// Returns the routers that stand by and have requests, 60 at the most.
+/// Returns up to 60 standbys, which then get requests.
 fn busy_standbys(world: &mut World) -> Vec<usize> {
     let up = world.up().into_iter();
-    let standing_by = up.filter(|i| !world.is_active(*i));
-    standing_by.take(60).collect()
+    let standbys = up.filter(|i| !world.is_active(*i));
+    standbys.take(60).collect()
 }
 
-/// Counts the routers among these that know of fewer than nine tenths of all requests, or of more
-/// than there are.
+/// Counts those of the routers that know of less than nine tenths of all requests, or of more than
+/// there are.
 fn count_wrong(world: &World, routers: &[usize]) -> usize {
-    let all: u32 = world.up().into_iter().map(|i| world.own(i)).sum();
+    let all: u32 = world.up().into_iter().map(|i| world.local(i)).sum();
     let right = all * 9 / 10..=all;
     let routers = routers.iter();
     routers
@@ -181,7 +182,7 @@
         .count()
 }
 
-/// Guards against routers that stand by and decide by a part of what the others sent.
+/// Guards against standbys that decide by a fraction of the requests of others.
 #[test]
 fn busy_standbys_know_all_requests() {
     for n in SIZES {
@@ -189,7 +190,7 @@
         let busy = busy_standbys(&mut world);
         for i in world.up() {
             let requests = if busy.contains(&i) { 20 } else { 0 };
-            world.hold(i, requests);
+            world.start_requests(i, requests);
         }
         world.run(Span::secs(2));
         let mut wrong = 0;
@@ -202,14 +203,14 @@
     }
 }
 
-/// Guards against routers that stand by and know nothing for seconds after active ones were killed.
+/// Guards against standbys that know no requests for seconds after active routers were killed.
 #[test]
 fn busy_standbys_know_requests_after_kills() {
     for n in [60, 300] {
         let mut world = settled(n, 29);
         let busy = busy_standbys(&mut world);
         for i in &busy {
-            world.hold(*i, 20);
+            world.start_requests(*i, 20);
         }
         world.run(Span::secs(2));
         let up = world.up().into_iter();
@@ -223,40 +224,43 @@
     }
 }
 
-/// Guards against busy routers that stand by spending a part of the retry budget that nobody has
-/// left for them.
+/// Guards against busy standbys that spend a part of the retry budget which the others don't leave
+/// to them.
 #[test]
 fn sharers_spend_one_budget() {
     for n in SIZES {
         let mut world = settled(n, 31);
         let busy = busy_standbys(&mut world);
         for i in &busy {
-            world.hold(*i, 20);
+            world.start_requests(*i, 20);
         }
         world.run(Span::secs(2));
         let up = world.up().into_iter();
-        let parts = up.filter(|i| busy.contains(i) || world.is_active(*i));
-        let parts: Vec<usize> = parts.collect();
-        let spent: f64 = parts.iter().map(|i| 1.0 / world.sharers(*i) as f64).sum();
+        let spenders = up.filter(|i| busy.contains(i) || world.is_active(*i));
+        let spenders: Vec<usize> = spenders.collect();
+        let spent: f64 = spenders
+            .iter()
+            .map(|i| 1.0 / world.sharers(*i) as f64)
+            .sum();
         assert!(spent <= 1.1, "{n}: {spent:.2} budgets");
     }
 }
 
-/// Guards against entries that stay lost, as few routers know that the store came back from an
+/// Guards against entries that stay lost because few routers know that the store came back from an
 /// older copy.
 #[test]
 fn era_reaches_all() {
     for n in SIZES {
         let mut world = settled(n, 19);
         let watches = first_active(&mut world);
-        world.name_era(watches, Era(1));
+        world.set_era(watches, Era(1));
         world.run(Span::millis(500));
         let up = world.up();
         let active: Vec<usize> = up.into_iter().filter(|i| world.is_active(*i)).collect();
         let knowing = active.iter().filter(|i| world.era(**i) == Era(1)).count();
         assert!(
             knowing * 100 >= active.len() * 98,
-            "{knowing} of {} active ones of {n} know after 0.5 s",
+            "{knowing} of {} active routers of {n} know after 0.5 s",
             active.len()
         );
         world.run(Span::millis(3_500));
--- a/crates/policy/tests/actives/world.rs
+++ b/crates/policy/tests/actives/world.rs
@@ -1,4 +1,4 @@
-//! A fleet of routers that tell each other who they are, in virtual time.
+//! A fleet of routers that exchange messages in virtual time.
 
 use {
     policy::{
@@ -32,33 +32,33 @@
     },
 };
 
-/// One word in so many is lost.
-const LOST: f64 = 0.01;
-/// Least number of active routers.
-pub(crate) const LEAST: usize = 12;
-/// Requests a second of all callers, who spread over the routers that are active.
-const RATE: f64 = 2_400.0;
-/// Addresses of others that one who starts is told.
-const KNOWN: usize = 64;
-/// Bytes of a word on who a router is, and of one on its loads, with the heads of its datagram.
+/// Fraction of the messages that are lost.
+const LOSS_RATE: f64 = 0.01;
+/// Minimum number of active routers.
+pub(crate) const ACTIVE_MIN: usize = 12;
+/// Requests per second of all callers, who spread over the active routers.
+const REQUESTS_PER_S: f64 = 2_400.0;
+/// Number of addresses that a router sends to one that starts.
+const KNOWN_ADDRESSES: usize = 64;
+/// Bytes of a hello and of a load message, including the datagram headers.
 const HELLO_BYTES: u64 = 170;
 const LOADS_BYTES: u64 = 600;
 /// Bytes of a summary of 160 replicas and 60 workspaces.
 const SUMMARY_BYTES: u64 = 3_700;
-/// Requests at replicas from which on a router that stands by tells of them.
+/// Number of running requests from which a standby reports its load.
 const BUSY: u32 = 4;
-/// The one replica that there is.
+/// The only replica.
 const REPLICA: ReplicaKey = ReplicaKey(1);
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
+enum Payload {
     Hello {
         next: Span,
         known: Vec<SocketAddr>,
     },
     Loads {
         next: Span,
-        said: LoadFlags,
+        flags: LoadFlags,
         running: u32,
     },
     Summary {
@@ -68,14 +68,14 @@
     },
 }
 
-type Word = (
+type Message = (
     Reverse<(Time, u64)>,
     usize,
     usize,
     u32,
     Incarnation,
     Era,
-    What,
+    Payload,
 );
 
 #[derive(Debug)]
@@ -84,8 +84,8 @@
     board: Board,
     up: bool,
     number: u32,
-    speaks: Time,
-    /// The newest era of the store that it knows of, which each of its words carries.
+    next_send: Time,
+    /// The newest era of the store that it knows of, which each of its messages contains.
     era: Era,
 }
 
@@ -93,15 +93,15 @@
 #[derive(Debug)]
 pub(crate) struct World {
     routers: Vec<Router>,
-    words: BinaryHeap<Word>,
+    messages: BinaryHeap<Message>,
     at: HashMap<SocketAddr, usize>,
     sequence: u64,
     pub(crate) now: Time,
     /// Zones that can't reach the others.
-    pub(crate) cut: HashSet<usize>,
-    /// What each router sent and got, in bytes.
+    pub(crate) partitioned: HashSet<usize>,
+    /// Bytes that each router sent and received.
     pub(crate) sent: Vec<u64>,
-    pub(crate) got: Vec<u64>,
+    pub(crate) received: Vec<u64>,
     rng: fastrand::Rng,
 }
 
@@ -115,8 +115,8 @@
     ([10, 0, (i / 250) as u8, (i % 250) as u8], 7000).into()
 }
 
-/// Two in five zones' first routers are large, as a few are on the users' instances.
-fn intro(i: usize, incarnation: u64) -> RouterInfo {
+/// The first three routers of each zone are large, as some instances have more processor time.
+fn info(i: usize, incarnation: u64) -> RouterInfo {
     RouterInfo {
         incarnation: Incarnation(incarnation),
         peers: address(i),
@@ -131,23 +131,23 @@
     pub(crate) fn new(n: usize, seed: u64) -> World {
         let mut world = World {
             routers: Vec::new(),
-            words: BinaryHeap::new(),
+            messages: BinaryHeap::new(),
             at: (0..n).map(|i| (address(i), i)).collect(),
             sequence: 0,
             now: Time(0),
-            cut: HashSet::new(),
+            partitioned: HashSet::new(),
             sent: vec![0; n],
-            got: vec![0; n],
+            received: vec![0; n],
             rng: fastrand::Rng::with_seed(seed),
         };
         for i in 0..n {
-            let speaks = world.now + Span::millis(world.rng.u64(0..300));
+            let next_send = world.now + Span::millis(world.rng.u64(0..300));
             world.routers.push(Router {
-                fleet: Actives::new(name(i), intro(i, 1), LEAST, Span::millis(100)),
+                fleet: Actives::new(name(i), info(i, 1), ACTIVE_MIN, Span::millis(100)),
                 board: Board::default(),
                 up: true,
                 number: 0,
-                speaks,
+                next_send,
                 era: Era::default(),
             });
             world.seed(i);
@@ -155,7 +155,7 @@
         world
     }
 
-    /// Tells a router of the three whose addresses settings name.
+    /// Adds the three seed addresses of the settings to a router.
     fn seed(&mut self, i: usize) {
         for seed in 0..3.min(self.routers.len()) {
             self.routers[i].fleet.add_address(address(seed), self.now);
@@ -166,8 +166,8 @@
         self.routers.len()
     }
 
-    /// Has a router send so many requests to the replica, which do not end.
-    pub(crate) fn hold(&mut self, i: usize, running: u32) {
+    /// Starts this many requests of a router at the replica, which do not end.
+    pub(crate) fn start_requests(&mut self, i: usize, running: u32) {
         let load = Load {
             running,
             ..Load::default()
@@ -176,17 +176,17 @@
     }
 
     /// Returns how many requests a router has at the replica.
-    pub(crate) fn own(&self, i: usize) -> u32 {
+    pub(crate) fn local(&self, i: usize) -> u32 {
         self.routers[i].board.running()
     }
 
-    /// Returns how many requests of all routers one knows of.
+    /// Returns how many requests of all routers a router knows of.
     pub(crate) fn known(&self, i: usize) -> u32 {
         self.routers[i].board.view(self.now).running
     }
 
-    /// Has the store name an era to a router.
-    pub(crate) fn name_era(&mut self, i: usize, era: Era) {
+    /// Sets the store's era at a router.
+    pub(crate) fn set_era(&mut self, i: usize, era: Era) {
         self.routers[i].era = era;
     }
 
@@ -195,7 +195,7 @@
         self.routers[i].era
     }
 
-    /// Returns among how many routers one takes what the fleet may spend to be divided.
+    /// Returns among how many routers a router divides the retry budget.
     pub(crate) fn sharers(&self, i: usize) -> usize {
         self.routers[i].fleet.sharers(self.now)
     }
@@ -205,25 +205,25 @@
         self.routers[i].up = false;
     }
 
-    /// Starts a router that knows nobody but those that its settings name.
+    /// Starts a router that knows only the seed addresses.
     pub(crate) fn start(&mut self, i: usize) {
         let incarnation = self.routers[i].fleet.local().incarnation.0 + 1;
-        let own = intro(i, incarnation);
+        let local = info(i, incarnation);
         self.routers[i] = Router {
-            fleet: Actives::new(name(i), own, LEAST, Span::millis(100)),
+            fleet: Actives::new(name(i), local, ACTIVE_MIN, Span::millis(100)),
             board: Board::default(),
             up: true,
             number: 0,
-            speaks: self.now + Span::millis(self.rng.u64(0..300)),
+            next_send: self.now + Span::millis(self.rng.u64(0..300)),
             era: Era::default(),
         };
         self.seed(i);
     }
 
-    /// Has a router say that it takes no more callers.
+    /// Lets a router announce that it takes no more callers.
     pub(crate) fn leave(&mut self, i: usize) {
         self.routers[i].fleet.set_ready(false);
-        self.speak(i, true);
+        self.send_due(i, true);
     }
 
     pub(crate) fn run(&mut self, span: Span) {
@@ -232,21 +232,21 @@
             self.now += Span::millis(5);
             self.deliver();
             for i in 0..self.routers.len() {
-                if self.routers[i].up && self.now >= self.routers[i].speaks {
-                    self.speak(i, false);
+                if self.routers[i].up && self.now >= self.routers[i].next_send {
+                    self.send_due(i, false);
                 }
             }
         }
     }
 
-    fn speak(&mut self, i: usize, urgent: bool) {
+    fn send_due(&mut self, i: usize, urgent: bool) {
         let now = self.now;
         let router = &mut self.routers[i];
         router.number += 1;
         let number = router.number;
         let running = router.board.running();
         let due = router.fleet.due(running >= BUSY, urgent, now);
-        let said = LoadFlags {
+        let flags = LoadFlags {
             busy: running >= BUSY,
             from_active: router.fleet.acts_active(now),
             ..LoadFlags::default()
@@ -260,13 +260,13 @@
             .iter()
             .map(|(name, addr)| (*addr, running_in(&router.board.loads_except(name, now))))
             .collect();
-        router.speaks = now + router.fleet.gossip_interval();
-        let loads = |next, said| What::Loads {
+        router.next_send = now + router.fleet.gossip_interval();
+        let loads = |next, flags| Payload::Loads {
             next,
-            said,
+            flags,
             running,
         };
-        let hello = |next| What::Hello {
+        let hello = |next| Payload::Hello {
             next,
             known: Vec::new(),
         };
@@ -275,18 +275,18 @@
             if number % HELLO_EVERY == 1 {
                 self.send(i, *to, number, hello(next));
             }
-            let said = LoadFlags {
+            let flags = LoadFlags {
                 to_active: true,
-                ..said
+                ..flags
             };
-            self.send(i, *to, number, loads(next, said));
+            self.send(i, *to, number, loads(next, flags));
         }
         for to in &due.addressed {
             let next = due.active_next;
             if number % HELLO_EVERY == 1 {
                 self.send(i, *to, number, hello(next));
             }
-            self.send(i, *to, number, loads(next, said));
+            self.send(i, *to, number, loads(next, flags));
         }
         for to in &due.busy_standbys {
             if number % HELLO_EVERY == 1 {
@@ -295,7 +295,7 @@
         }
         for (to, running) in summaries {
             let next = due.active_next;
-            let summary = What::Summary {
+            let summary = Payload::Summary {
                 next,
                 running,
                 sharers,
@@ -310,79 +310,79 @@
         }
     }
 
-    fn send(&mut self, from: usize, to: SocketAddr, number: u32, what: What) {
-        let bytes = match &what {
-            What::Hello { known, .. } => HELLO_BYTES + 12 * known.len() as u64,
-            What::Loads { .. } => LOADS_BYTES,
-            What::Summary { .. } => SUMMARY_BYTES,
+    fn send(&mut self, from: usize, to: SocketAddr, number: u32, payload: Payload) {
+        let bytes = match &payload {
+            Payload::Hello { known, .. } => HELLO_BYTES + 12 * known.len() as u64,
+            Payload::Loads { .. } => LOADS_BYTES,
+            Payload::Summary { .. } => SUMMARY_BYTES,
         };
         self.sent[from] += bytes;
         let Some(to) = self.at.get(&to).copied() else {
             return;
         };
-        if self.rng.f64() < LOST {
+        if self.rng.f64() < LOSS_RATE {
             return;
         }
         let at = self.now + Span::millis(self.rng.u64(1..8));
         self.sequence += 1;
         let incarnation = self.routers[from].fleet.local().incarnation;
-        self.got[to] += bytes;
-        self.words.push((
+        self.received[to] += bytes;
+        self.messages.push((
             Reverse((at, self.sequence)),
             from,
             to,
             number,
             incarnation,
             self.routers[from].era,
-            what,
+            payload,
         ));
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let cut = |i: usize| self.cut.contains(&(i % ZONES));
-        from % ZONES == to % ZONES || !cut(from) && !cut(to)
+        let partitioned = |i: usize| self.partitioned.contains(&(i % ZONES));
+        from % ZONES == to % ZONES || !partitioned(from) && !partitioned(to)
     }
 
     fn deliver(&mut self) {
-        while self.words.peek().is_some_and(|w| w.0 .0 .0 <= self.now) {
-            let (_, from, to, number, incarnation, era, what) = self.words.pop().unwrap();
+        while self.messages.peek().is_some_and(|w| w.0 .0 .0 <= self.now) {
+            let (_, from, to, number, incarnation, era, payload) = self.messages.pop().unwrap();
             if !self.routers[to].up || !self.reaches(from, to) {
                 continue;
             }
             let known = &mut self.routers[to].era;
             *known = era.max(*known);
-            match what {
-                What::Hello { next, known } => {
+            match payload {
+                Payload::Hello { next, known } => {
                     self.hello(from, to, number, incarnation, next, &known)
                 }
-                What::Loads {
+                Payload::Loads {
                     next,
-                    said,
+                    flags,
                     running,
                 } => {
                     let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
-                    let heard = router
+                    let received_from = router
                         .fleet
-                        .receive_loads(key, number, next, said, self.now);
-                    if heard.is_some() {
+                        .receive_loads(key, number, next, flags, self.now);
+                    if received_from.is_some() {
                         router
                             .board
                             .set_peer(&name(from), &at_replica(running), self.now);
                     }
                 }
-                What::Summary {
+                Payload::Summary {
                     next,
                     running,
                     sharers,
                 } => {
                     let key = router_key(&name(from), incarnation);
                     let router = &mut self.routers[to];
-                    let said = LoadFlags::default();
-                    let heard = router
+                    let flags = LoadFlags::default();
+                    let received_from = router
                         .fleet
-                        .receive_loads(key, number, next, said, self.now);
-                    if heard.is_some() {
+                        .receive_loads(key, number, next, flags, self.now);
+                    if received_from.is_some() {
                         router.fleet.set_sharers(sharers, self.now);
                         router.board.set_summary(&at_replica(running), self.now);
                     }
@@ -401,27 +401,27 @@
         known: &[SocketAddr],
     ) {
         let now = self.now;
-        let intro = RouterInfo {
+        let info = RouterInfo {
             incarnation,
             ..self.routers[from].fleet.local().clone()
         };
-        let asks = self.routers[from].fleet.needs_addresses();
+        let asks_for_addresses = self.routers[from].fleet.needs_addresses();
         let silent = self.routers[from].fleet.silent();
-        let speaker = &self.routers[from].fleet;
-        let rate = match speaker.is_active() {
-            true => RATE / speaker.active_count() as f64,
+        let sender = &self.routers[from].fleet;
+        let rate = match sender.is_active() {
+            true => REQUESTS_PER_S / sender.active_count() as f64,
             false => 0.0,
         };
         let fleet = &mut self.routers[to].fleet;
-        let heard = fleet.receive_hello(&name(from), number, intro, next, rate, now);
-        if heard == HelloKind::Stale {
+        let kind = fleet.receive_hello(&name(from), number, info, next, rate, now);
+        if kind == HelloKind::Stale {
             return;
         }
         fleet.receive_silent(&silent, now);
         for addr in known {
             fleet.add_address(*addr, now);
         }
-        if heard == HelloKind::First && asks {
+        if kind == HelloKind::First && asks_for_addresses {
             self.answer(to, from);
         }
     }
@@ -431,11 +431,11 @@
         let router = &mut self.routers[i];
         router.number += 1;
         let (number, next) = (router.number, router.fleet.hello_interval());
-        let known = router.fleet.sample_addresses(KNOWN, skip);
-        self.send(i, address(to), number, What::Hello { next, known });
+        let known = router.fleet.sample_addresses(KNOWN_ADDRESSES, skip);
+        self.send(i, address(to), number, Payload::Hello { next, known });
     }
 
-    /// Returns the routers that one takes for active, in order.
+    /// Returns the routers that a router considers active, in order.
     pub(crate) fn active(&mut self, i: usize) -> Vec<RouterId> {
         let now = self.now;
         let fleet = &mut self.routers[i].fleet;
@@ -448,25 +448,25 @@
         all
     }
 
-    /// Returns how many of those that a router would name to callers are down.
-    pub(crate) fn dead_named(&mut self, i: usize) -> usize {
+    /// Returns how many of the routers that a router would list to callers are down.
+    pub(crate) fn dead_listed(&mut self, i: usize) -> usize {
         let up: HashSet<RouterId> = (0..self.len())
             .filter(|i| self.routers[*i].up)
             .map(name)
             .collect();
-        let named = self.active(i);
-        named.iter().filter(|name| !up.contains(name)).count()
+        let listed = self.active(i);
+        listed.iter().filter(|name| !up.contains(name)).count()
     }
 
     pub(crate) fn up(&self) -> Vec<usize> {
         (0..self.len()).filter(|i| self.routers[*i].up).collect()
     }
 
-    /// Returns after how long nearly all that are up take the same routers for active; none after
-    /// `most`.
+    /// Returns the time until nearly all live routers agree on the active ones, or none if that
+    /// takes longer than `most`.
     ///
-    /// A word that was lost comes again seconds later, so one that stands by may miss one or two
-    /// of the active ones, which does no harm.
+    /// A lost message is followed by another only seconds later, so a standby may miss one or two
+    /// of the active routers, which does no harm.
     pub(crate) fn agree_within(&mut self, most: Span) -> Option<Span> {
         let from = self.now;
         while self.now.since(from) <= most {
@@ -484,18 +484,19 @@
             return false;
         };
         let first = self.active(i);
-        let differs = |other: Vec<RouterId>| {
+        let difference = |other: Vec<RouterId>| {
             let missing = first.iter().filter(|name| !other.contains(name)).count();
             let more = other.iter().filter(|name| !first.contains(name)).count();
             missing.max(more)
         };
-        // Requests take more than the least number of routers have to give.
-        first.len() >= LEAST.min(up.len()) && up.iter().all(|i| differs(self.active(*i)) <= 2)
+        // The requests need more processor time than the minimum number of routers has.
+        first.len() >= ACTIVE_MIN.min(up.len())
+            && up.iter().all(|i| difference(self.active(*i)) <= 2)
     }
 
-    /// Returns how many routers the active one and the other one know that know fewest.
-    pub(crate) fn least_known(&self) -> (usize, usize) {
-        let least = |active: bool| {
+    /// Returns the lowest number of routers that an active router knows, and that a standby knows.
+    pub(crate) fn fewest_known(&self) -> (usize, usize) {
+        let fewest = |active: bool| {
             let up = self
                 .routers
                 .iter()
@@ -504,16 +505,16 @@
                 .min()
                 .unwrap_or(self.len())
         };
-        (least(true), least(false))
+        (fewest(true), fewest(false))
     }
 
-    /// Forgets what was sent and got.
+    /// Resets the byte counts.
     pub(crate) fn reset_bytes(&mut self) {
         self.sent.fill(0);
-        self.got.fill(0);
+        self.received.fill(0);
     }
 
-    /// Returns whether a router is among those that it takes for active itself.
+    /// Returns whether a router considers itself active.
     pub(crate) fn is_active(&mut self, i: usize) -> bool {
         let now = self.now;
         let fleet = &mut self.routers[i].fleet;
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -52,7 +52,7 @@
 struct Fleet {
     routers: usize,
     /// Interval of the load reports.
-    load_interval: Span,
+    report_interval: Span,
     /// Interval of the usage reports.
     usage_interval: Span,
     /// Whether each workspace's requests arrive at all routers instead of one.
@@ -64,7 +64,7 @@
 
 const SMALL: Fleet = Fleet {
     routers: 3,
-    load_interval: Span::millis(40),
+    report_interval: Span::millis(40),
     usage_interval: Span::millis(40),
     spread: false,
     standbys: 0,
@@ -141,7 +141,7 @@
             .collect();
         let active = self.fleet.routers - self.fleet.standbys;
         for (i, name) in names.iter().enumerate() {
-            let loads = due(self.fleet.load_interval).then(|| self.boards[i].report());
+            let loads = due(self.fleet.report_interval).then(|| self.boards[i].report());
             let counts = due(self.fleet.usage_interval).then(|| self.quotas[i].report(self.now));
             for peer in (0..active).filter(|peer| *peer != i) {
                 if let Some(loads) = &loads {
@@ -153,7 +153,7 @@
             }
         }
         for (i, name) in names.iter().enumerate().skip(active) {
-            if due(self.fleet.load_interval) {
+            if due(self.fleet.report_interval) {
                 let relay = i % active;
                 let loads = self.boards[relay].loads_except(name, self.now);
                 self.boards[i].set_summary(&loads, self.now);
@@ -192,7 +192,7 @@
             target: Span::millis(400),
             shortest_target: Span::millis(250),
             usage,
-            load_interval: self.fleet.load_interval,
+            load_interval: self.fleet.report_interval,
             tuning: &Tuning::default(),
         };
         let Pick::Run(choice) = pick(&candidates, &request) else {
@@ -256,7 +256,7 @@
         let first = Time(u64::from(who) * 7_000) + Span::secs(begins);
         due.insert((first, who), interval);
     }
-    let step = fleet.load_interval.min(fleet.usage_interval);
+    let step = fleet.report_interval.min(fleet.usage_interval);
     let mut reported = Time(0);
     let mut turn: u32 = 0;
     while let Some(((now, who), interval)) = due.pop_first() {
@@ -376,7 +376,7 @@
 fn load_floods_share_evenly_with_late_counts() {
     let fleet = Fleet {
         routers: 24,
-        load_interval: Span::millis(300),
+        report_interval: Span::millis(300),
         usage_interval: Span::millis(900),
         spread: true,
         standbys: 0,
@@ -391,7 +391,7 @@
 fn load_flood_of_many_times_another() {
     let fleet = Fleet {
         routers: 24,
-        load_interval: Span::millis(300),
+        report_interval: Span::millis(300),
         usage_interval: Span::millis(900),
         spread: true,
         standbys: 0,
@@ -438,7 +438,7 @@
 fn load_flood_of_short_prompts_with_late_reports() {
     let fleet = Fleet {
         routers: 24,
-        load_interval: Span::millis(300),
+        report_interval: Span::millis(300),
         usage_interval: Span::millis(900),
         spread: true,
         standbys: 0,
@@ -454,7 +454,7 @@
 fn load_flood_that_begins_at_many_routers() {
     let fleet = Fleet {
         routers: 24,
-        load_interval: Span::millis(300),
+        report_interval: Span::millis(300),
         usage_interval: Span::millis(900),
         spread: true,
         standbys: 0,
@@ -471,7 +471,7 @@
 fn load_flood_at_active_routers_has_its_share() {
     let fleet = Fleet {
         routers: 24,
-        load_interval: Span::millis(100),
+        report_interval: Span::millis(100),
         usage_interval: Span::millis(300),
         spread: false,
         standbys: 12,
--- a/crates/policy/tests/quarantine/fleet.rs
+++ b/crates/policy/tests/quarantine/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of routers and replicas that end, in virtual time.
+//! A fleet of routers, and replicas that crash, in virtual time.
 
 use policy::{
     placement::ReplicaKey,
@@ -12,67 +12,67 @@
 };
 
 const STEP: Span = Span::millis(5);
-/// Time between two words of a router.
-const WORDS: Span = Span::millis(300);
-/// One word in so many is lost.
-const LOST: f64 = 0.02;
-/// Replicas, each of which is back as another start after it ended.
+/// Interval between two messages of a router.
+const MESSAGE_INTERVAL: Span = Span::millis(300);
+/// Fraction of the messages that are lost.
+const LOSS_RATE: f64 = 0.02;
+/// Number of replicas. Each of them restarts after it ended.
 const REPLICAS: usize = 9;
-const BACK: Span = Span::secs(4);
+const RESTART_DELAY: Span = Span::secs(4);
 /// Other requests that run at a replica.
-const RUNNING: usize = 12;
-/// How long one has run before it has shown that it ends nothing.
-const EARLY: Span = Span::millis(800);
-/// Routes allow so many replicas for each attempt.
-const TRIES: u32 = 2;
-/// The request that ends what runs it.
+const HARMLESS_PER_REPLICA: usize = 12;
+/// Time after which a running request is known to be harmless.
+const HARMLESS_AFTER: Span = Span::millis(800);
+/// Replicas that a request may use per attempt of its caller.
+const ATTEMPTS_MAX: u32 = 2;
+/// The request that ends each replica that runs it.
 const DEADLY: RequestDigest = RequestDigest(1);
-/// A question that many callers ask.
-const ASKED_OFTEN: RequestDigest = RequestDigest(2);
-/// When ends count as late, after the third.
-const CONTACT: Span = Span::secs(3);
+/// A harmless request that many callers send.
+const FREQUENT: RequestDigest = RequestDigest(2);
+/// Time after the third end from which a send of the deadly request is late.
+const LATE_AFTER: Span = Span::secs(3);
 
-/// What happens.
+/// The events of a run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Plan {
     pub(crate) span: Span,
-    /// When the deadly request comes first.
-    pub(crate) from: Span,
-    /// Times a second that it comes then, and how often at once.
-    pub(crate) deadly: f64,
-    pub(crate) at_once: usize,
-    /// Replicas a second that crash by themselves.
-    pub(crate) crashes: f64,
-    /// Times a second that the question is asked which many ask.
-    pub(crate) often: f64,
+    /// Time of the first deadly request.
+    pub(crate) start: Span,
+    /// Its arrivals per second from then on, and the copies per arrival.
+    pub(crate) deadly_rate: f64,
+    pub(crate) copies: usize,
+    /// Replicas per second that crash for other reasons.
+    pub(crate) crash_rate: f64,
+    /// Arrivals per second of the request that many callers send.
+    pub(crate) frequent_rate: f64,
 }
 
 impl Default for Plan {
     fn default() -> Plan {
         Plan {
             span: Span::secs(60),
-            from: Span::secs(3),
-            deadly: 3.0,
-            at_once: 1,
-            crashes: 0.2,
-            often: 5.0,
+            start: Span::secs(3),
+            deadly_rate: 3.0,
+            copies: 1,
+            crash_rate: 0.2,
+            frequent_rate: 5.0,
         }
     }
 }
 
-/// What became of it.
+/// The result of a run.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Ends {
+pub(crate) struct Outcome {
     /// Replicas that ended.
     pub(crate) all: usize,
-    /// Of these under the deadly request.
-    pub(crate) under: usize,
+    /// Those of them that ended under the deadly request.
+    pub(crate) deadly: usize,
     /// Sends of the deadly request later than three seconds after the third end under it.
     pub(crate) late: usize,
-    /// Asks of the question that many ask, and how many of these were held back.
-    pub(crate) asked: usize,
-    pub(crate) refused: usize,
-    /// Harmless requests that are held back anywhere in the end.
+    /// Sends of the request that many callers send, and those of them that were rejected.
+    pub(crate) frequent: usize,
+    pub(crate) rejected: usize,
+    /// Harmless requests that are held anywhere at the end.
     pub(crate) innocent: usize,
 }
 
@@ -81,47 +81,47 @@
 struct Run {
     digest: RequestDigest,
     router: usize,
-    /// Tries of its attempt so far, with this one.
-    tries: u32,
+    /// Replicas used in its current attempt, including this one.
+    attempts: u32,
     began: Time,
 }
 
 #[derive(Debug)]
 struct Replica {
     key: ReplicaKey,
-    /// Since when it is up; later than now where it is down.
+    /// Since when it is up, which is in the future while it is down.
     up: Time,
     runs: Vec<Run>,
-    /// When it ends under what it runs.
+    /// When it ends because of what it runs.
     ends: Option<Time>,
 }
 
 #[derive(Debug)]
-struct Word {
+struct Message {
     to: usize,
     at: Time,
-    notes: QuarantineUpdate,
+    update: QuarantineUpdate,
 }
 
-/// Routers, replicas and words under way.
+/// Routers, replicas and messages in transit.
 pub(crate) struct Fleet {
     routers: Vec<Quarantine>,
-    speaks: Vec<Time>,
+    next_send: Vec<Time>,
     replicas: Vec<Replica>,
-    words: Vec<Word>,
+    messages: Vec<Message>,
     now: Time,
     started: u32,
     next: u64,
-    deadly: Vec<Time>,
-    ends: Ends,
+    deadly_ends: Vec<Time>,
+    outcome: Outcome,
     rng: fastrand::Rng,
 }
 
 impl Fleet {
     pub(crate) fn new(routers: usize, seed: u64) -> Fleet {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let speaks = (0..routers).map(|_| Time(rng.u64(..WORDS.0)));
-        let speaks = speaks.collect();
+        let next_send = (0..routers).map(|_| Time(rng.u64(..MESSAGE_INTERVAL.0)));
+        let next_send = next_send.collect();
         let replicas = (0..REPLICAS).map(|n| Replica {
             key: ReplicaKey(n as u32),
             up: Time(0),
@@ -130,54 +130,56 @@
         });
         Fleet {
             routers: (0..routers).map(|_| Quarantine::default()).collect(),
-            speaks,
+            next_send,
             replicas: replicas.collect(),
-            words: Vec::new(),
+            messages: Vec::new(),
             now: Time(0),
             started: REPLICAS as u32,
             next: 100,
-            deadly: Vec::new(),
-            ends: Ends::default(),
+            deadly_ends: Vec::new(),
+            outcome: Outcome::default(),
             rng,
         }
     }
 
-    /// Runs a plan, and returns what became of it.
-    pub(crate) fn run(mut self, plan: &Plan) -> Ends {
+    /// Runs a plan and returns the result.
+    pub(crate) fn run(mut self, plan: &Plan) -> Outcome {
         while self.now < Time(0) + plan.span {
             self.now += STEP;
-            self.hear();
+            self.deliver();
             self.ask(plan);
             self.crash(plan);
-            self.speak();
+            self.send_updates();
         }
         let held = self
             .routers
             .iter()
             .flat_map(|r| r.held_update(self.now).held);
-        self.ends.under = self.deadly.len();
-        self.ends.innocent = held.filter(|h| h.digest != DEADLY).count();
-        self.ends
+        self.outcome.deadly = self.deadly_ends.len();
+        self.outcome.innocent = held.filter(|h| h.digest != DEADLY).count();
+        self.outcome
     }
 
-    fn comes(&mut self, rate: f64) -> bool {
+    fn arrives(&mut self, rate: f64) -> bool {
         self.rng.f64() < rate * STEP.as_secs()
     }
 
-    /// Sends what callers ask now to routers of their choice.
+    /// Sends the requests that arrive now to random routers.
     fn ask(&mut self, plan: &Plan) {
-        if self.now >= Time(0) + plan.from && self.comes(plan.deadly) {
-            for _ in 0..plan.at_once {
+        if self.now >= Time(0) + plan.start && self.arrives(plan.deadly_rate) {
+            for _ in 0..plan.copies {
                 self.attempt(DEADLY);
             }
         }
-        if self.comes(plan.often) {
-            self.ends.asked += 1;
-            self.attempt(ASKED_OFTEN);
+        if self.arrives(plan.frequent_rate) {
+            self.outcome.frequent += 1;
+            self.attempt(FREQUENT);
         }
         for n in 0..REPLICAS {
             self.answer(n);
-            while self.replicas[n].up <= self.now && self.replicas[n].runs.len() < RUNNING {
+            while self.replicas[n].up <= self.now
+                && self.replicas[n].runs.len() < HARMLESS_PER_REPLICA
+            {
                 self.next += 1;
                 let router = self.rng.usize(..self.routers.len());
                 self.start(n, RequestDigest(self.next), router, 1);
@@ -190,27 +192,27 @@
         self.send(digest, router, 1);
     }
 
-    /// Sends a request to some replica that is up, unless the router holds it back.
-    fn send(&mut self, digest: RequestDigest, router: usize, tries: u32) {
+    /// Sends a request to a random live replica, unless the router holds it.
+    fn send(&mut self, digest: RequestDigest, router: usize, attempts: u32) {
         if self.routers[router].remaining(digest, self.now).is_some() {
-            self.ends.refused += usize::from(digest != DEADLY);
+            self.outcome.rejected += usize::from(digest != DEADLY);
             return;
         }
         let up: Vec<usize> = (0..REPLICAS)
             .filter(|n| self.replicas[*n].up <= self.now)
             .collect();
         if let Some(n) = (!up.is_empty()).then(|| up[self.rng.usize(..up.len())]) {
-            self.start(n, digest, router, tries);
+            self.start(n, digest, router, attempts);
         }
     }
 
-    fn start(&mut self, n: usize, digest: RequestDigest, router: usize, tries: u32) {
+    fn start(&mut self, n: usize, digest: RequestDigest, router: usize, attempts: u32) {
         let began = self.now;
         let replica = &mut self.replicas[n];
         replica.runs.push(Run {
             digest,
             router,
-            tries,
+            attempts,
             began,
         });
         if digest == DEADLY {
@@ -218,18 +220,18 @@
             let run = Span::millis(self.rng.u64(30..400));
             let at = began + run;
             replica.ends = Some(replica.ends.map_or(at, |ends| ends.min(at)));
-            let third = self.deadly.get(2);
-            self.ends.late += usize::from(third.is_some_and(|t| began >= *t + CONTACT));
+            let third = self.deadly_ends.get(2);
+            self.outcome.late += usize::from(third.is_some_and(|t| began >= *t + LATE_AFTER));
         }
     }
 
-    /// Takes away what a replica has answered.
+    /// Removes the requests that a replica has answered.
     fn answer(&mut self, n: usize) {
         let now = self.now;
         let runs = std::mem::take(&mut self.replicas[n].runs);
         let (done, runs) = runs
             .into_iter()
-            .partition(|r| r.digest != DEADLY && now.since(r.began) >= EARLY);
+            .partition(|r| r.digest != DEADLY && now.since(r.began) >= HARMLESS_AFTER);
         self.replicas[n].runs = runs;
         let done: Vec<Run> = done;
         for run in done {
@@ -237,9 +239,9 @@
         }
     }
 
-    /// Ends replicas, under the deadly request or by themselves.
+    /// Ends replicas, because of the deadly request or for other reasons.
     fn crash(&mut self, plan: &Plan) {
-        let by_itself = match self.comes(plan.crashes) {
+        let by_itself = match self.arrives(plan.crash_rate) {
             true => Some(self.rng.usize(..REPLICAS)),
             false => None,
         };
@@ -250,18 +252,18 @@
                 continue;
             }
             if deadly {
-                self.deadly.push(self.now);
+                self.deadly_ends.push(self.now);
             }
             self.end(n);
         }
     }
 
     fn end(&mut self, n: usize) {
-        self.ends.all += 1;
+        self.outcome.all += 1;
         self.started += 1;
         let back = Replica {
             key: ReplicaKey(self.started),
-            up: self.now + BACK,
+            up: self.now + RESTART_DELAY,
             runs: Vec::new(),
             ends: None,
         };
@@ -269,43 +271,43 @@
         for run in ended.runs {
             let router = &mut self.routers[run.router];
             router.ended(run.digest, ended.key, self.now);
-            // Whoever saw it tells at once.
-            self.speaks[run.router] = self.now;
-            if run.tries < TRIES {
-                self.send(run.digest, run.router, run.tries + 1);
+            // A router that saw an end reports it at once.
+            self.next_send[run.router] = self.now;
+            if run.attempts < ATTEMPTS_MAX {
+                self.send(run.digest, run.router, run.attempts + 1);
             }
         }
     }
 
-    fn speak(&mut self) {
+    fn send_updates(&mut self) {
         for from in 0..self.routers.len() {
-            if self.now < self.speaks[from] {
+            if self.now < self.next_send[from] {
                 continue;
             }
-            self.speaks[from] = self.now + WORDS;
-            let notes = self.routers[from].full_update(self.now);
-            if notes == QuarantineUpdate::default() {
+            self.next_send[from] = self.now + MESSAGE_INTERVAL;
+            let update = self.routers[from].full_update(self.now);
+            if update == QuarantineUpdate::default() {
                 continue;
             }
             for to in 0..self.routers.len() {
-                if to != from && self.rng.f64() >= LOST {
+                if to != from && self.rng.f64() >= LOSS_RATE {
                     let at = self.now + Span::millis(self.rng.u64(1..8));
-                    let notes = notes.clone();
-                    self.words.push(Word { to, at, notes });
+                    let update = update.clone();
+                    self.messages.push(Message { to, at, update });
                 }
             }
         }
     }
 
-    fn hear(&mut self) {
+    fn deliver(&mut self) {
         let now = self.now;
-        let (due, rest) = std::mem::take(&mut self.words)
+        let (due, rest) = std::mem::take(&mut self.messages)
             .into_iter()
             .partition(|w| w.at <= now);
-        self.words = rest;
-        let due: Vec<Word> = due;
-        for word in due {
-            self.routers[word.to].apply_update(&word.notes, now);
+        self.messages = rest;
+        let due: Vec<Message> = due;
+        for message in due {
+            self.routers[message.to].apply_update(&message.update, now);
         }
     }
 }
--- a/crates/policy/tests/quarantine/main.rs
+++ b/crates/policy/tests/quarantine/main.rs
@@ -1,4 +1,4 @@
-//! Requests under which replicas end: what is known of them at one router, and in whole fleets.
+//! Requests that crash replicas: at single routers and in whole fleets.
 
 mod fleet;
 
@@ -28,12 +28,13 @@
     Time(0) + Span::millis(ms)
 }
 
-/// Notes that a replica ended under the deadly request; returns whether it is held back from then.
+/// Records the end of a replica under the deadly request. Returns whether a hold starts.
 fn end(quarantine: &mut Quarantine, replica: u32, now: Time) -> bool {
     quarantine.ended(DEADLY, ReplicaKey(replica), now)
 }
 
-/// A router at which replicas ended under a request, at these milliseconds.
+/// Returns a router at which replicas ended under the deadly request at these times, in
+/// milliseconds.
 fn after_ends(ms: &[u64]) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for (n, ms) in ms.iter().enumerate() {
@@ -42,9 +43,9 @@
     quarantine
 }
 
-/// What the question that many callers ask may be refused by chance: two seconds' worth, in which
-/// one that was under way is answered and all have heard of it.
-const MOMENT: usize = 10;
+/// Acceptable rejections of a harmless request that many callers send: two seconds' worth, by which
+/// time one of them has been answered and all routers know of the answer.
+const REJECTED_MAX: usize = 10;
 
 #[test]
 fn quarantine_third_end() {
@@ -53,7 +54,7 @@
     assert!(end(&mut quarantine, 9, at(800)));
     assert_eq!(quarantine.remaining(DEADLY, at(800)), Some(HOLD_DURATION));
     assert_eq!(quarantine.remaining(OTHER, at(800)), None);
-    // It is told once that it began.
+    // The start of a hold is reported once.
     assert!(!end(&mut quarantine, 10, at(900)));
 }
 
@@ -65,25 +66,26 @@
 }
 
 #[test]
-fn quarantine_rack_that_fails() {
-    // A rack takes four replicas at once, and with them four copies of a question that many
-    // callers ask. Refused for that, it would have no answer for ten minutes.
+fn quarantine_rack_failure() {
+    // A rack failure takes down four replicas, and with them four copies of a request that many
+    // callers send. If that started a hold, the request would get no answer for ten minutes.
     let quarantine = after_ends(&[0, 10, 30, 60]);
     assert_eq!(quarantine.remaining(DEADLY, at(100)), None);
 }
 
 #[test]
 fn quarantine_two_at_once() {
-    // Two copies end a replica each, 20 ms apart, and a third does three seconds later, when
-    // replicas are back. Counted as one, the two first would let a whole clump through then.
+    // Two copies end a replica each within 20 ms, and a third one does so three seconds later, when
+    // replicas are back. If the first two counted as one, another batch of copies would be let
+    // through then.
     let mut quarantine = after_ends(&[0, 20]);
     assert!(end(&mut quarantine, 9, at(3_000)));
 }
 
 #[test]
 fn quarantine_answered_is_cleared() {
-    // An answer clears a request of all ends before it, and for ten seconds of those that follow:
-    // replicas crash under it that it did not end. Three ends after that count as ever.
+    // An answer clears a request of all earlier ends, and of those within the next ten seconds:
+    // replicas crash under it for other reasons. Three ends after that count as usual.
     let mut quarantine = after_ends(&[0, 400]);
     quarantine.answered(DEADLY, at(500));
     for (n, ms) in [800, 1_200, 1_600, 10_400].into_iter().enumerate() {
@@ -97,7 +99,7 @@
 
 #[test]
 fn quarantine_answered_at_another_router() {
-    // One router answers a question all the time; at the others replicas crash under it.
+    // One router gets answers to a request all the time; at the others replicas crash under it.
     let mut first = Quarantine::default();
     first.answered(DEADLY, at(0));
     let mut second = after_ends(&[100, 500]);
@@ -108,16 +110,16 @@
 
 #[test]
 fn quarantine_let_through_again() {
-    // After the hold it is tried once; ending one more replica holds it back again at once, and
+    // After the hold the request is let through once. One more end starts another hold at once, and
     // an answer clears it for good.
     let later = Time(0) + HOLD_DURATION + Span::secs(1);
     let mut deadly = after_ends(&[0, 400, 800]);
     assert_eq!(deadly.remaining(DEADLY, later), None);
     assert!(end(&mut deadly, 9, later));
     assert!(deadly.remaining(DEADLY, later).is_some());
-    let mut mended = after_ends(&[0, 400, 800]);
-    mended.answered(DEADLY, later);
-    assert!(!end(&mut mended, 9, later + Span::secs(1)));
+    let mut harmless = after_ends(&[0, 400, 800]);
+    harmless.answered(DEADLY, later);
+    assert!(!end(&mut harmless, 9, later + Span::secs(1)));
 }
 
 #[test]
@@ -127,13 +129,13 @@
         let now = at(400 * n as u64);
         assert!(!end(router, n as u32, now));
     }
-    let notes: Vec<QuarantineUpdate> = routers.iter().map(|r| r.full_update(at(900))).collect();
+    let updates: Vec<QuarantineUpdate> = routers.iter().map(|r| r.full_update(at(900))).collect();
     let [first, ..] = &mut routers;
-    assert!(first.apply_update(&notes[1], at(905)).is_empty());
-    // A word may come twice.
-    assert!(first.apply_update(&notes[1], at(906)).is_empty());
-    assert_eq!(first.apply_update(&notes[2], at(907)), [DEADLY]);
-    // A router that starts later hears of it from any other.
+    assert!(first.apply_update(&updates[1], at(905)).is_empty());
+    // A message may arrive twice.
+    assert!(first.apply_update(&updates[1], at(906)).is_empty());
+    assert_eq!(first.apply_update(&updates[2], at(907)), [DEADLY]);
+    // A router that starts later learns of the hold from any other.
     let mut late = Quarantine::default();
     assert_eq!(
         late.apply_update(&first.held_update(at(60_000)), at(5)),
@@ -145,8 +147,9 @@
 
 #[test]
 fn quarantine_two_routers_at_once() {
-    // The second and the third end are seen by two routers before either hears of the other's.
-    // Whoever saw one writes it down, or nobody would, and a kill of all routers forgets it.
+    // Two routers see the second and the third end before either receives the other's report. Both
+    // must write the hold to the store, since otherwise no one would, and a kill of all routers
+    // would lose it.
     let mut first = after_ends(&[0]);
     let mut second = Quarantine::default();
     second.apply_update(&first.full_update(at(10)), at(15));
@@ -175,8 +178,8 @@
 }
 
 #[test]
-fn quarantine_words_do_not_keep_it_up() {
-    // Two routers tell each other for an hour how much longer they hold a request back.
+fn quarantine_reports_do_not_prolong_a_hold() {
+    // Two routers report the remaining time of a hold to each other for an hour.
     let mut first = after_ends(&[0, 400, 800]);
     let mut second = Quarantine::default();
     second.apply_update(&first.held_update(at(800)), at(808));
@@ -189,27 +192,26 @@
             return;
         }
     }
-    panic!("it is never let through again");
+    panic!("the hold never ends");
 }
 
 #[test]
-fn quarantine_peers_ask_for_too_long() {
+fn quarantine_reported_hold_is_capped() {
     let mut quarantine = Quarantine::default();
-    let notes = QuarantineUpdate {
+    let update = QuarantineUpdate {
         held: vec![Held {
             digest: DEADLY,
             left: Span::secs(1_000_000),
         }],
         ..QuarantineUpdate::default()
     };
-    quarantine.apply_update(&notes, at(0));
+    quarantine.apply_update(&update, at(0));
     assert_eq!(quarantine.remaining(DEADLY, at(0)), Some(HOLD_DURATION));
 }
 
 #[test]
 fn quarantine_many_suspects() {
-    // Crash after crash adds suspects. They take bounded memory, and the one that is held back
-    // stays.
+    // Many crashes add many suspected requests. They take bounded memory, and the held one stays.
     let mut quarantine = after_ends(&[0, 400, 800]);
     for n in 0..20_000 {
         let now = at(1_000 + n);
@@ -224,34 +226,36 @@
 
 #[test]
 fn quarantine_in_a_fleet() {
-    // A request ends each replica that runs it and comes several times a second at any router,
-    // beside others that move from crash to crash and a question that many callers ask. The users'
-    // bound: at most three sends later than three seconds after the third end.
-    holds_back(&Plan::default());
+    // A request ends each replica that runs it, and arrives several times a second at any router,
+    // along with requests that are retried after crashes and one that many callers send. At most
+    // three sends may come later than three seconds after the third end.
+    check_holds(&Plan::default());
 }
 
 #[test]
 fn quarantine_five_at_once() {
-    // The same, with five copies at once every few seconds. Several replicas end before any
-    // router could know: counting only sends that came after the end before, the third was not
-    // counted for seconds, and up to ten copies were sent on too late.
-    holds_back(&Plan {
-        deadly: 0.3,
-        at_once: 5,
+    // The same with five copies at once every few seconds. Several replicas end before any router
+    // can know. If only sends after the previous end counted, the third end would not be counted
+    // for seconds, and up to ten copies would be sent too late.
+    check_holds(&Plan {
+        deadly_rate: 0.3,
+        copies: 5,
         ..Plan::default()
     });
 }
 
-/// Runs a plan with fleets of all sizes, and checks that the deadly request and no other is held
-/// back.
-fn holds_back(plan: &Plan) {
+/// Runs a plan with fleets of all sizes, and checks that the deadly request and no other is held.
+fn check_holds(plan: &Plan) {
     for (routers, seeds) in [(1, 20), (8, 20), (60, 6), (300, 1)] {
         for seed in 0..seeds {
-            let ended = Fleet::new(routers, seed).run(plan);
-            assert!(ended.late <= 3, "{routers} routers, seed {seed}: {ended:?}");
+            let outcome = Fleet::new(routers, seed).run(plan);
+            assert!(
+                outcome.late <= 3,
+                "{routers} routers, seed {seed}: {outcome:?}"
+            );
             assert_eq!(
-                ended.innocent, 0,
-                "{routers} routers, seed {seed}: {ended:?}"
+                outcome.innocent, 0,
+                "{routers} routers, seed {seed}: {outcome:?}"
             );
         }
     }
@@ -259,18 +263,18 @@
 
 #[test]
 fn quarantine_replicas_crash_by_themselves() {
-    // Replicas crash twice a second for a minute under whatever runs there. No request ends them,
-    // and none stays held back.
+    // Replicas crash twice a second for a minute, no matter what runs there. No request is the
+    // cause, and none stays held.
     for seed in 0..20 {
         let plan = Plan {
-            deadly: 0.0,
-            crashes: 2.0,
+            deadly_rate: 0.0,
+            crash_rate: 2.0,
             ..Plan::default()
         };
-        let ended = Fleet::new(8, seed).run(&plan);
-        eprintln!("DBG own {seed} {ended:?}");
-        assert_eq!(ended.innocent, 0, "seed {seed}: {ended:?}");
-        assert!(ended.refused <= MOMENT, "seed {seed}: {ended:?}");
-        assert!(ended.all >= 30, "seed {seed}: {ended:?}");
+        let outcome = Fleet::new(8, seed).run(&plan);
+        eprintln!("seed {seed}: {outcome:?}");
+        assert_eq!(outcome.innocent, 0, "seed {seed}: {outcome:?}");
+        assert!(outcome.rejected <= REJECTED_MAX, "seed {seed}: {outcome:?}");
+        assert!(outcome.all >= 30, "seed {seed}: {outcome:?}");
     }
 }
--- a/crates/policy/tests/rendezvous.rs
+++ b/crates/policy/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Who holds a key: an even spread, and few moves when members change.
+//! Rendezvous hashing: an even spread of the keys, and few moves when members change.
 
 use policy::rendezvous;
 
--- a/crates/policy/tests/seeded/mod.rs
+++ b/crates/policy/tests/seeded/mod.rs
@@ -1,12 +1,12 @@
-//! How the fuzz tests are run: the same cases each time, more of them on request.
+//! Configuration of the fuzz tests: the same cases each time, and more of them on request.
 
 use proptest::{
     prelude::ProptestConfig,
     test_runner::RngSeed, //
 };
 
-/// Runs `cases` cases from a fixed seed, unless `CHERVILWIND_FUZZ_CASES` and
-/// `CHERVILWIND_FUZZ_SEED` say otherwise.
+/// Returns a configuration with `cases` cases from a fixed seed, which `CHERVILWIND_FUZZ_CASES` and
+/// `CHERVILWIND_FUZZ_SEED` override.
 pub fn config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases: env("CHERVILWIND_FUZZ_CASES").map_or(cases, |n| n as u32),
--- a/crates/policy/tests/watch/fleet.rs
+++ b/crates/policy/tests/watch/fleet.rs
@@ -12,61 +12,61 @@
 
 /// One step of virtual time.
 const STEP: Span = Span::millis(10);
-/// Time from a router's word to its being heard.
-const LINK: Span = Span::millis(10);
-/// Time by which a call without an answer is given up later than its wait.
-const HANGS: Span = Span::millis(800);
+/// Latency of a message between routers.
+const LATENCY: Span = Span::millis(10);
+/// Timeout of a call without an answer, in addition to the long poll.
+const CALL_TIMEOUT: Span = Span::millis(800);
 
-/// What a router does.
+/// The state of a router.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Doing {
-    Looks { at: Time },
-    Waits { until: Time },
-    Hangs { until: Time },
-    Pauses { until: Time },
+enum State {
+    Checking { at: Time },
+    Waiting { until: Time },
+    Hanging { until: Time },
+    BackingOff { until: Time },
 }
 
 struct Router {
     name: RouterId,
     watch: Watch,
-    doing: Doing,
-    speaks: Time,
+    state: State,
+    next_send: Time,
 }
 
 /// A fleet, and how the store treats it.
 pub(crate) struct Fleet {
     routers: Vec<Router>,
-    every: Span,
-    words: Vec<(Time, usize, Option<Span>)>,
+    interval: Span,
+    messages: Vec<(Time, usize, Option<Span>)>,
     pub(crate) now: Time,
-    /// The store answers nobody.
+    /// The store answers no calls.
     pub(crate) down: bool,
-    /// Routers that the store turns away.
-    pub(crate) refused: BTreeSet<usize>,
+    /// Routers that the store rejects.
+    pub(crate) rejected: BTreeSet<usize>,
     /// Routers whose calls get no answer.
     pub(crate) silent: BTreeSet<usize>,
-    /// Calls that were made.
+    /// Number of calls.
     pub(crate) calls: usize,
-    /// When a call was last answered.
+    /// Time of the last answered call.
     pub(crate) answered: Time,
     rng: fastrand::Rng,
 }
 
 impl Fleet {
-    pub(crate) fn new(n: usize, every: Span, seed: u64) -> Fleet {
+    pub(crate) fn new(n: usize, interval: Span, seed: u64) -> Fleet {
         let routers = (0..n).map(|i| Router {
             name: format!("r{i:03}").parse().unwrap(),
             watch: Watch::default(),
-            doing: Doing::Looks { at: Time(0) },
-            speaks: Time(0) + every * (i as f64 / n as f64),
+            state: State::Checking { at: Time(0) },
+            next_send: Time(0) + interval * (i as f64 / n as f64),
         });
         Fleet {
             routers: routers.collect(),
-            every,
-            words: Vec::new(),
+            interval,
+            messages: Vec::new(),
             now: Time(0),
             down: false,
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             silent: BTreeSet::new(),
             calls: 0,
             answered: Time(0),
@@ -74,20 +74,20 @@
         }
     }
 
-    /// Returns the routers that wait for a change now.
+    /// Returns the routers that are waiting for a change.
     pub(crate) fn watching(&self) -> Vec<usize> {
-        let waits = |r: &Router| matches!(r.doing, Doing::Waits { .. });
+        let is_waiting = |r: &Router| matches!(r.state, State::Waiting { .. });
         let all = self.routers.iter().enumerate();
-        all.filter(|(_, r)| waits(r)).map(|(i, _)| i).collect()
+        all.filter(|(_, r)| is_waiting(r)).map(|(i, _)| i).collect()
     }
 
-    /// Runs for a while. Returns the longest time in which the store told nobody anything.
+    /// Runs for a while. Returns the longest time in which the store answered no router.
     pub(crate) fn run(&mut self, span: Span) -> Span {
         let end = self.now + span;
         let mut longest = Span::ZERO;
         while self.now < end {
             self.now += STEP;
-            self.speak();
+            self.send_ages();
             for i in 0..self.routers.len() {
                 self.step(i);
             }
@@ -96,18 +96,18 @@
         longest
     }
 
-    fn speak(&mut self) {
+    fn send_ages(&mut self) {
         let now = self.now;
         for (i, r) in self.routers.iter_mut().enumerate() {
-            if now >= r.speaks {
-                r.speaks = now + self.every;
-                self.words.push((now + LINK, i, r.watch.age(now)));
+            if now >= r.next_send {
+                r.next_send = now + self.interval;
+                self.messages.push((now + LATENCY, i, r.watch.age(now)));
             }
         }
-        let (due, rest) = std::mem::take(&mut self.words)
+        let (due, rest) = std::mem::take(&mut self.messages)
             .into_iter()
             .partition(|(at, ..)| now >= *at);
-        self.words = rest;
+        self.messages = rest;
         let due: Vec<(Time, usize, Option<Span>)> = due;
         for (_, from, age) in due {
             let name = self.routers[from].name.clone();
@@ -122,49 +122,49 @@
 
     fn step(&mut self, i: usize) {
         let (now, n) = (self.now, self.routers.len());
-        match self.routers[i].doing {
-            Doing::Looks { at } if now >= at => {
+        match self.routers[i].state {
+            State::Checking { at } if now >= at => {
                 let due = self.routers[i].watch.is_due(self.rng.f64(), n, now);
                 match due {
                     true => self.call(i),
                     false => {
-                        self.routers[i].doing = Doing::Looks {
+                        self.routers[i].state = State::Checking {
                             at: now + Watch::POLL_INTERVAL,
                         }
                     }
                 }
             }
-            Doing::Waits { until } if now >= until => self.call(i),
-            Doing::Hangs { until } if now >= until => self.fail(i),
-            Doing::Pauses { until } if now >= until => {
-                self.routers[i].doing = Doing::Looks { at: now };
+            State::Waiting { until } if now >= until => self.call(i),
+            State::Hanging { until } if now >= until => self.fail(i),
+            State::BackingOff { until } if now >= until => {
+                self.routers[i].state = State::Checking { at: now };
             }
             _ => {}
         }
     }
 
-    /// Makes a router's next call.
+    /// Makes the next call of a router.
     fn call(&mut self, i: usize) {
         let now = self.now;
         self.calls += 1;
         if self.silent.contains(&i) {
-            let until = now + Watch::LONG_POLL_TIMEOUT + HANGS;
-            self.routers[i].doing = Doing::Hangs { until };
+            let until = now + Watch::LONG_POLL_TIMEOUT + CALL_TIMEOUT;
+            self.routers[i].state = State::Hanging { until };
             return;
         }
-        if self.down || self.refused.contains(&i) {
+        if self.down || self.rejected.contains(&i) {
             self.fail(i);
             return;
         }
         let router = &mut self.routers[i];
         self.answered = now;
         router.watch.confirmed(now);
-        router.doing = match router.watch.yields(&router.name, now) {
+        router.state = match router.watch.yields(&router.name, now) {
             true => {
                 router.watch.ended();
-                Doing::Looks { at: now }
+                State::Checking { at: now }
             }
-            false => Doing::Waits {
+            false => State::Waiting {
                 until: now + Watch::LONG_POLL_TIMEOUT,
             },
         };
@@ -176,6 +176,6 @@
         let watch = &mut self.routers[i].watch;
         watch.failed();
         let until = self.now + watch.pause(roll, n);
-        self.routers[i].doing = Doing::Pauses { until };
+        self.routers[i].state = State::BackingOff { until };
     }
 }
