--- a/crates/gateway/src/follow/replicas.rs
+++ b/crates/gateway/src/follow/replicas.rs
@@ -1,4 +1,4 @@
-//! The list of replicas, read in turn by the routers.
+//! Reads the list of replicas from the store. The routers take turns.
 
 use {
     crate::{
@@ -29,33 +29,32 @@
     },
 };
 
-/// How long it is remembered that a prompt's shared part was sent to a replica, in seconds: an
-/// engine's memory turns over in less.
-const CACHED_S: f64 = 30.0;
-/// Pause after a read that failed.
-const AGAIN: Duration = Duration::from_millis(150);
+/// How long a replica is assumed to have the shared part of a prompt cached after it was sent
+/// there. An engine's memory turns over in less.
+const CACHE_RETENTION_S: f64 = 30.0;
+const READ_RETRY_DELAY: Duration = Duration::from_millis(150);
 
-/// Reads the list again and again.
+/// Reads the list whenever it is this router's turn.
 pub(crate) async fn follow_replicas(gw: Arc<Shared>) {
     loop {
-        if !is_due(&gw) {
+        if !is_read_due(&gw) {
             task::sleep(Roster::<()>::POLL_INTERVAL.into()).await;
             continue;
         }
-        let read = (gw.store.replicas)().await;
-        gw.note_store("replicas", read.as_ref().err());
+        let read = (gw.store.list_replicas)().await;
+        gw.record_store_call("replicas", read.as_ref().err());
         match read {
-            Ok(list) => take(&gw, list),
+            Ok(list) => apply_store_list(&gw, list),
             Err(_) => {
                 gw.tables().roster.read_failed();
-                task::sleep(AGAIN).await;
+                task::sleep(READ_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Draws whether this router is to read the list of the store now.
-fn is_due(gw: &Shared) -> bool {
+/// Decides at random whether this router is to read the list from the store now.
+fn is_read_due(gw: &Shared) -> bool {
     let now = gw.now();
     let tables = gw.tables();
     let routers = tables.fleet.eligible_count();
@@ -63,22 +62,22 @@
     tables.roster.is_due(fastrand::f64(), routers, since)
 }
 
-/// Takes a list that the store gave.
-fn take(gw: &Shared, list: ReplicaList) {
+/// Applies a list that was read from the store.
+fn apply_store_list(gw: &Shared, list: ReplicaList) {
     let now = gw.now();
-    let gone = {
+    let departed = {
         let roster = &mut gw.tables().roster;
         roster.set_revision(list.revision, now);
-        roster.apply_list(entries(list.replicas), now)
+        roster.apply_list(listed_replicas(list.replicas), now)
     };
-    note(gw, &gone, "store");
-    // Until the peers hear of it, they draw who reads next: 85 routers, who speak every 0.4 s,
-    // read 13 times a second in place of 3.
+    finish_update(gw, &departed, "store");
+    // Announce it at once. Until the peers know of this read, each may decide to read too: 85
+    // routers with a gossip interval of 0.4 s read 13 times a second in place of 3.
     gw.announce();
 }
 
-/// Takes the list of a peer, as it was `age` ago.
-pub(crate) fn take_from_peer(
+/// Applies the list of a peer, which was read from the store `age` ago.
+pub(crate) fn apply_peer_list(
     gw: &Shared,
     list: Vec<Replica>,
     era: Era,
@@ -86,17 +85,17 @@
     from: SocketAddr,
 ) {
     let now = gw.now();
-    let gone = {
+    let departed = {
         let roster = &mut gw.tables().roster;
         if !roster.accepts_list_of(era, now) {
             return;
         }
-        roster.apply_peer_list(entries(list), age, now)
+        roster.apply_peer_list(listed_replicas(list), age, now)
     };
-    note(gw, &gone, &from.to_string());
+    finish_update(gw, &departed, &from.to_string());
 }
 
-fn entries(list: Vec<Replica>) -> impl Iterator<Item = Listed<Arc<Replica>>> {
+fn listed_replicas(list: Vec<Replica>) -> impl Iterator<Item = Listed<Arc<Replica>>> {
     list.into_iter().map(|r| Listed {
         id: r.id.clone(),
         key: r.key(),
@@ -105,23 +104,23 @@
     })
 }
 
-/// Notes that there is a list, and which replicas no longer take work; forgets what is known of
-/// those that are gone.
-fn note(gw: &Shared, gone: &[ReplicaId], from: &str) {
+/// Finishes an update of the roster: drops all data on replicas that departed, logs them, and marks
+/// the list as present.
+fn finish_update(gw: &Shared, departed: &[ReplicaId], from: &str) {
     let now = gw.now();
     let mut tables = gw.tables();
     let known: HashSet<ReplicaKey> = tables.roster.known().map(|(_, r)| r.key()).collect();
     tables.speeds.retain(|key| known.contains(&key));
     tables.latencies.retain(|key| known.contains(&key));
     tables.health.retain(|key, _| known.contains(key));
-    tables.heard.retain(|key, _| known.contains(key));
+    tables.last_received.retain(|key, _| known.contains(key));
     tables
-        .cached
-        .retain(|(key, _), at| known.contains(key) && now.since(*at).as_secs() < CACHED_S);
+        .cached_prefixes
+        .retain(|(key, _), at| known.contains(key) && now.since(*at).as_secs() < CACHE_RETENTION_S);
     drop(tables);
-    for id in gone {
+    for id in departed {
         gw.pool.forget(id);
         log::info!("event=replica outcome=left replica={id} from={from}");
     }
-    gw.listed.store(true, Ordering::Relaxed);
+    gw.replicas_listed.store(true, Ordering::Relaxed);
 }
--- a/crates/gateway/src/serve/admit.rs
+++ b/crates/gateway/src/serve/admit.rs
@@ -14,7 +14,7 @@
             Service, //
         },
         state::{
-            InForce,
+            CurrentConfig,
             Shared, //
         },
     },
@@ -76,7 +76,7 @@
     body: Vec<u8>,
     arrived: Instant,
 ) -> Result<Request, LocalAnswer> {
-    let Some(force) = gw.in_force() else {
+    let Some(force) = gw.current_config() else {
         return Err(LocalAnswer::not_run(
             "this instance has no configuration yet; ask another",
             NOT_READY_RETRY_DELAY,
@@ -108,7 +108,7 @@
             NOT_READY_RETRY_DELAY,
         ));
     };
-    let prompt = (dialect.prompt)(&headers);
+    let prompt = (dialect.parse_prompt)(&headers);
     let last_event = headers.get(dialect.last_event).and_then(|v| v.parse().ok());
     strip_headers(&mut headers, dialect);
     let digest_parts = [method.as_bytes(), host.as_bytes(), target.as_bytes()];
@@ -128,7 +128,7 @@
         min_target: force
             .config
             .shortest_target(&service)
-            .unwrap_or(route.target),
+            .unwrap_or(route.latency_target),
         service,
         workspace,
         prompt,
@@ -142,7 +142,7 @@
 
 /// Finds the workspace that the caller's key belongs to.
 fn find_workspace(
-    force: &InForce,
+    force: &CurrentConfig,
     dialect: &Dialect,
     headers: &Headers,
     route: &Route,
@@ -153,7 +153,7 @@
     let holder = headers.get(dialect.key).and_then(|key| keys.get(key));
     match holder {
         Some(workspace) => Ok(Some(workspace.clone())),
-        None if route.open => Ok(None),
+        None if route.public => Ok(None),
         None => Err(LocalAnswer::status(401, "no workspace holds this key")),
     }
 }
@@ -180,12 +180,12 @@
     let ours = [
         dialect.key,
         dialect.deadline,
-        dialect.expect,
+        dialect.expected_replica,
         dialect.workspace,
         dialect.copy_from,
         "expect",
     ];
-    for name in ours.iter().chain(dialect.orders) {
+    for name in ours.iter().chain(dialect.engine_controls) {
         headers.remove(name);
     }
 }
--- a/crates/gateway/src/serve/permit.rs
+++ b/crates/gateway/src/serve/permit.rs
@@ -72,7 +72,11 @@
     pub(crate) fn silent_for(&self) -> Duration {
         let now = self.gw.now();
         let tables = self.gw.tables();
-        let heard = tables.heard.get(&self.key).copied().unwrap_or_default();
+        let heard = tables
+            .last_received
+            .get(&self.key)
+            .copied()
+            .unwrap_or_default();
         now.since(heard.max(self.sent_at)).into()
     }
 
@@ -105,7 +109,7 @@
         self.board.start(choice.key, load);
         self.health.entry(choice.key).or_default().sent(now);
         if let Some(affinity_key) = prompt.and_then(Prompt::affinity_key) {
-            self.cached.insert((choice.key, affinity_key), now);
+            self.cached_prefixes.insert((choice.key, affinity_key), now);
         }
         let counted = prompt.filter(|_| answer_state == AnswerState::NotStarted);
         if let (Some(prompt), Some(workspace)) = (counted, &req.workspace) {
@@ -139,7 +143,7 @@
         let mut tables = self.gw.tables();
         tables.board.read(self.key, self.load.unread);
         tables.speeds.record(self.key, self.unread, took);
-        tables.heard.insert(self.key, now);
+        tables.last_received.insert(self.key, now);
         drop(tables);
         self.load.unread = 0;
         self.first_event_at = Some(Instant::now());
@@ -160,7 +164,7 @@
     pub(crate) fn record_output(&self) {
         let now = self.gw.now();
         let mut tables = self.gw.tables();
-        tables.heard.insert(self.key, now);
+        tables.last_received.insert(self.key, now);
         if !self.is_early() {
             tables.quarantine.answered(self.digest, now);
         }
@@ -182,7 +186,7 @@
         let now = self.gw.now();
         let mut tables = self.gw.tables();
         tables.health.entry(self.key).or_default().answered(ok);
-        tables.heard.insert(self.key, now);
+        tables.last_received.insert(self.key, now);
         if ok {
             tables.quarantine.answered(self.digest, now);
         }
--- a/crates/gateway/src/serve/request_log.rs
+++ b/crates/gateway/src/serve/request_log.rs
@@ -91,7 +91,7 @@
         progress.tried.last().map_or("-", |r| r.as_str()),
         progress.tried.len(),
         progress.sends,
-        req.route.attempts,
+        req.route.max_attempts,
         progress
             .last_sent_at
             .map_or(-1, |at| at.elapsed().as_millis() as i64),
--- a/crates/gateway/src/serve/silence.rs
+++ b/crates/gateway/src/serve/silence.rs
@@ -32,5 +32,5 @@
 /// Waits until an idempotent request that is not a stream is to be hedged.
 pub(super) async fn wait_until_hedge_due(req: &Request) {
     let left = req.until.saturating_duration_since(Instant::now());
-    task::sleep((req.route.target * HEDGE_AFTER_TARGETS).min(left / 2)).await;
+    task::sleep((req.route.latency_target * HEDGE_AFTER_TARGETS).min(left / 2)).await;
 }
--- a/crates/gateway/src/upstream/call.rs
+++ b/crates/gateway/src/upstream/call.rs
@@ -169,7 +169,7 @@
     let mut headers = request.headers.clone();
     let left = request.until.saturating_duration_since(Instant::now());
     headers.push(dialect.deadline, left.as_millis());
-    headers.push(dialect.expect, &replica.id);
+    headers.push(dialect.expected_replica, &replica.id);
     if let Some(workspace) = request.workspace {
         headers.push(dialect.workspace, workspace);
     }
--- a/crates/gateway/tests/gateway/harness.rs
+++ b/crates/gateway/tests/gateway/harness.rs
@@ -17,8 +17,7 @@
         Headers,
         Lease,
         Limits,
-        Pending,
-        Registered,
+        RegisteredRouter,
         ReplicaList,
         Revision,
         Route,
@@ -28,8 +27,9 @@
         State,
         Store,
         StoreError,
+        StoreFuture,
         Versioned,
-        Watched, //
+        WatchResult, //
     },
     policy::{
         placement::Prompt,
@@ -178,16 +178,16 @@
         ("/resume/", RouteKind::Stream { resume: true }, 2, false),
         ("/open/", RouteKind::Idempotent, 2, true),
     ];
-    for (prefix, kind, attempts, open) in routes {
+    for (prefix, kind, max_attempts, public) in routes {
         let route = Route {
             name: prefix.replace('/', ""),
             prefix: prefix.to_owned(),
             kind,
             timeout: Duration::from_millis(json["timeout"].as_u64().unwrap()),
-            target: Duration::from_millis(300),
+            latency_target: Duration::from_millis(300),
             split: vec![("s".parse().unwrap(), 1)],
-            attempts,
-            open,
+            max_attempts,
+            public,
         };
         config.add_route("a.example", route);
     }
@@ -226,19 +226,19 @@
         deadline: "X-Deadline",
         key: "X-Key",
         workspace: "X-Workspace",
-        expect: "X-Expect",
+        expected_replica: "X-Expect",
         not_run: "X-Not-Run",
         signature: "X-Signature",
         last_event: "X-Last",
         copy_from: "X-Copy",
-        orders: &["X-Reserve", "X-Keep-Ms"],
+        engine_controls: &["X-Reserve", "X-Keep-Ms"],
         retry_after: "Retry-After",
         ready_path: "/ready",
-        prompt: no_prompt,
-        config: read_config,
-        replica: no_replica,
-        address_query: query,
-        address_answer: addresses,
+        parse_prompt: no_prompt,
+        parse_config: read_config,
+        parse_replica: no_replica,
+        parse_address_query: query,
+        encode_addresses: addresses,
     }
 }
 
@@ -248,7 +248,7 @@
 fn respond<T: Send + 'static>(
     store: &SharedStore,
     read: impl FnOnce(&FakeStore) -> T + Send + 'static,
-) -> Pending<T> {
+) -> StoreFuture<T> {
     let store = store.clone();
     Box::pin(async move {
         let fault = store.lock().unwrap().fault;
@@ -276,7 +276,7 @@
     })
 }
 
-fn watch(store: &SharedStore, after: Revision, wait: Duration) -> Pending<Watched> {
+fn watch(store: &SharedStore, after: Revision, wait: Duration) -> StoreFuture<WatchResult> {
     let store = store.clone();
     Box::pin(async move {
         let until = Instant::now() + wait;
@@ -288,7 +288,7 @@
             }
             if config_revision > after.number || Instant::now() >= until {
                 store.lock().unwrap().reported = read.revision.number;
-                return Ok(Watched {
+                return Ok(WatchResult {
                     value: (config_revision > after.number).then_some(read.value),
                     revision: read.revision,
                 });
@@ -298,7 +298,12 @@
     })
 }
 
-fn register(store: &SharedStore, name: String, value: Vec<u8>, lease: Lease) -> Pending<Revision> {
+fn register(
+    store: &SharedStore,
+    name: String,
+    value: Vec<u8>,
+    lease: Lease,
+) -> StoreFuture<Revision> {
     let store = store.clone();
     Box::pin(async move {
         respond(&store, |_| ()).await?;
@@ -312,7 +317,7 @@
     })
 }
 
-fn unregister(store: &SharedStore, name: String, written: Revision) -> Pending<bool> {
+fn unregister(store: &SharedStore, name: String, written: Revision) -> StoreFuture<bool> {
     let store = store.clone();
     Box::pin(async move {
         respond(&store, |_| ()).await?;
@@ -322,7 +327,7 @@
     })
 }
 
-fn take_lease(store: &SharedStore) -> Pending<Lease> {
+fn take_lease(store: &SharedStore) -> StoreFuture<Lease> {
     let store = store.clone();
     Box::pin(async move {
         respond(&store, |_| ()).await?;
@@ -347,9 +352,9 @@
     }
 }
 
-fn list_routers(store: &FakeStore) -> Vec<Registered> {
+fn list_routers(store: &FakeStore) -> Vec<RegisteredRouter> {
     let entries = store.registered.iter();
-    let entries = entries.map(|(name, value)| Registered {
+    let entries = entries.map(|(name, value)| RegisteredRouter {
         value: value.clone(),
         lease: store.lease_of(name).unwrap_or(0),
     });
@@ -375,15 +380,15 @@
         handle(),
     );
     Store {
-        config: Box::new(move || respond(&a, versioned)),
-        watch: Box::new(move |after, wait| watch(&b, after, wait)),
-        replicas: Box::new(move || respond(&c, list_replicas)),
-        routers: Box::new(move || respond(&d, list_routers)),
-        lease: Box::new(move |_| take_lease(&e)),
-        renew: Box::new(move |lease| respond(&f, move |w| renew(w, lease))),
+        read_config: Box::new(move || respond(&a, versioned)),
+        watch_config: Box::new(move |after, wait| watch(&b, after, wait)),
+        list_replicas: Box::new(move || respond(&c, list_replicas)),
+        list_routers: Box::new(move || respond(&d, list_routers)),
+        grant_lease: Box::new(move |_| take_lease(&e)),
+        renew_lease: Box::new(move |lease| respond(&f, move |w| renew(w, lease))),
         register: Box::new(move |name, value, lease| register(&g, name, value, lease)),
         unregister: Box::new(move |name, written| unregister(&h, name, written)),
-        era: Box::new(move || Era(i.lock().unwrap().reported_era)),
+        newest_era: Box::new(move || Era(i.lock().unwrap().reported_era)),
     }
 }
 
@@ -440,7 +445,7 @@
 pub(crate) fn entry(name: &str, replica: &Replica) -> gateway::Replica {
     gateway::Replica {
         id: name.parse().unwrap(),
-        born: None,
+        started_at: None,
         service: "s".parse().unwrap(),
         addr: replica.addr,
         zone: "z1".parse().unwrap(),
--- a/crates/gateway/tests/gateway/requests.rs
+++ b/crates/gateway/tests/gateway/requests.rs
@@ -176,7 +176,7 @@
     wait_until(|| gw.get("/again/a", "1").status == 503);
     let good = echo();
     let mut entry = crate::harness::entry("i-1", &good);
-    entry.born = Some(policy::StartedAt(1_700_000_000_000));
+    entry.started_at = Some(policy::StartedAt(1_700_000_000_000));
     gw.store.lock().unwrap().replicas[0] = entry;
     wait_until(|| gw.get("/again/a", "2").status == 200);
     assert!(!good.seen().is_empty());
--- a/crates/gateway/tests/gateway/standby.rs
+++ b/crates/gateway/tests/gateway/standby.rs
@@ -32,13 +32,13 @@
 /// Starts an active gateway and two standbys.
 fn start_three(replica: &Replica) -> (TestGateway, TestGateway, TestGateway) {
     let first = TestGateway::start_with(shared_store(replica), "g1", |settings| {
-        settings.fleet.active = 1;
+        settings.fleet.min_active = 1;
         settings.instance.processor = 4.0;
     });
     let seed = first.settings.listen.peers;
     let others = [("g2", "127.0.0.2"), ("g3", "127.0.0.3")].map(|(name, ip)| {
         TestGateway::start_with(shared_store(replica), name, |settings| {
-            settings.fleet.active = 1;
+            settings.fleet.min_active = 1;
             settings.instance.processor = 0.1;
             settings.listen.peers.set_ip(ip.parse().unwrap());
             settings.listen.peers.set_port(seed.port());
--- a/crates/policy/src/dispatch/mod.rs
+++ b/crates/policy/src/dispatch/mod.rs
@@ -1,26 +1,26 @@
-//! Which request starts where and when, across the fleet.
+//! Fair scheduling of requests across the fleet: which request starts on which replica, and when.
 
 mod action;
 mod core;
 mod dump;
 mod exchange;
 mod job;
-mod mates;
 mod member;
 mod message;
-mod ranks;
-mod refuse;
+mod ownership;
+mod peers;
+mod reject;
 mod rules;
 
 pub(crate) use self::{
-    mates::Mates,
     message::{
         service_key,
-        Load,
-        Loads,
+        ReplicaLoad,
+        ReplicaLoads,
         ServiceKey,
-        Wait, //
+        WorkspaceDemand, //
     },
+    peers::ServicePeers,
 };
 
 pub use self::{
@@ -46,8 +46,8 @@
     },
     message::{
         Message,
-        Report, //
-        SlotGrant,
+        Report,
+        SlotGrant, //
     },
     rules::{
         Mode,
--- a/crates/policy/src/members/table.rs
+++ b/crates/policy/src/members/table.rs
@@ -1,4 +1,4 @@
-//! All routers known to this one.
+//! The table of all routers that this one knows.
 
 use {
     super::{
@@ -8,11 +8,11 @@
         Event,
         GossipUpdate,
         Heartbeat,
-        Intro,
         Listed,
         Member,
         MembershipParams,
         ReportedState,
+        RouterAddresses,
         State, //
     },
     crate::{
@@ -27,26 +27,27 @@
     },
 };
 
-/// The rounds between two introductions to a router that beats back.
-const INTRO_EVERY: u64 = 16;
+/// Rounds between two heartbeats with addresses to a router whose heartbeats arrive here.
+const ADDRESSES_INTERVAL: u64 = 16;
 
 /// The routers known to this one, itself included.
 ///
 /// # Examples
 ///
 /// ```
-/// use policy::{members::{Event, Intro, Members, MembershipParams}, Incarnation, Time};
+/// use policy::{members::{Event, Members, MembershipParams, RouterAddresses}, Incarnation, Time};
 ///
-/// let intro = |port| Intro {
+/// let addresses = |port| RouterAddresses {
 ///     addr: ([127, 0, 0, 1], port).into(),
-///     callers: ([127, 0, 0, 1], port + 1).into(),
-///     operators: None,
+///     caller_addr: ([127, 0, 0, 1], port + 1).into(),
+///     operator_addr: None,
 ///     zone: "hall-a".parse().unwrap(),
 /// };
 /// let id = |s: &str| s.parse().unwrap();
-/// let mut a = Members::new(id("a"), Incarnation(1), intro(7000), MembershipParams::default(), 1);
-/// let mut b = Members::new(id("b"), Incarnation(1), intro(7100), MembershipParams::default(), 2);
-/// a.seed(id("b"), intro(7100), Time(0));
+/// let params = MembershipParams::default();
+/// let mut a = Members::new(id("a"), Incarnation(1), addresses(7000), params.clone(), 1);
+/// let mut b = Members::new(id("b"), Incarnation(1), addresses(7100), params, 2);
+/// a.seed(id("b"), addresses(7100), Time(0));
 /// a.tick(Time(0));
 /// for e in a.take_events() {
 ///     if let Event::SendHeartbeat { heartbeat, .. } = e {
@@ -59,63 +60,63 @@
 pub struct Members {
     pub(super) me: RouterId,
     pub(super) incarnation: Incarnation,
-    pub(super) intro: Intro,
+    pub(super) addresses: RouterAddresses,
     pub(super) local: LocalStatus,
     pub(super) params: MembershipParams,
     pub(super) rng: Rng,
     pub(super) seq: u64,
     pub(super) peers: BTreeMap<RouterId, Peer>,
     pub(super) gossip: Gossip,
-    /// Rumours owed to one router, in the next heartbeat to it.
-    pub(super) owed: BTreeMap<RouterId, Vec<GossipUpdate>>,
+    /// Updates for one router, to be sent in the next heartbeat to it.
+    pub(super) pending: BTreeMap<RouterId, Vec<GossipUpdate>>,
     pub(super) events: Vec<Event>,
-    pub(super) ticked: Option<Time>,
-    pub(super) round: Option<Time>,
+    pub(super) last_tick: Option<Time>,
+    pub(super) next_round: Option<Time>,
 }
 
-/// What a router says of itself in its heartbeats.
+/// The status of this router that its heartbeats carry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct LocalStatus {
-    /// It shuts down.
+    /// The router is shutting down.
     pub leaving: bool,
-    /// The platform does not answer it.
+    /// The router cannot reach the platform.
     pub no_platform: bool,
     /// The revision of the configuration in force.
     pub config: u64,
-    /// The revision of the platform's list that it has seen.
+    /// The revision of the platform's list that the router has seen.
     pub list: u64,
-    /// Its load.
+    /// The router's load.
     pub load: u32,
 }
 
 impl Members {
-    /// Makes the table of a router that knows only itself. The seed picks whom it beats
-    /// at random; give each router another.
+    /// Creates the table of a router that knows only itself. The seed determines the random
+    /// receivers of its heartbeats and should differ between routers.
     pub fn new(
         me: RouterId,
         incarnation: Incarnation,
-        intro: Intro,
+        addresses: RouterAddresses,
         params: MembershipParams,
         seed: u64,
     ) -> Members {
         Members {
             me,
             incarnation,
-            intro,
+            addresses,
             local: LocalStatus::default(),
             params,
             rng: Rng::with_seed(seed),
             seq: 0,
             peers: BTreeMap::new(),
             gossip: Gossip::default(),
-            owed: BTreeMap::new(),
+            pending: BTreeMap::new(),
             events: Vec::new(),
-            ticked: None,
-            round: None,
+            last_tick: None,
+            next_round: None,
         }
     }
 
-    /// Sets what the next heartbeats say of this router.
+    /// Sets the status that the next heartbeats carry.
     pub fn set_local_status(&mut self, local: LocalStatus) {
         if self.local.leaving != local.leaving {
             self.events.push(Event::Changed);
@@ -123,18 +124,18 @@
         self.local = local;
     }
 
-    /// Adds a router that the settings name, where no list is at hand.
-    pub fn seed(&mut self, id: RouterId, intro: Intro, now: Time) {
+    /// Adds a router from the settings or from a peer, for when no list is available.
+    pub fn seed(&mut self, id: RouterId, addresses: RouterAddresses, now: Time) {
         if id == self.me || self.peers.contains_key(&id) {
             return;
         }
-        let peer = Peer::new(id.clone(), &intro, &self.params, now);
+        let peer = Peer::new(id.clone(), &addresses, &self.params, now);
         self.peers.insert(id, peer);
         self.events.push(Event::Changed);
     }
 
-    /// Takes the platform's list. It lags, so it adds routers but never takes away one
-    /// that still beats.
+    /// Applies the platform's list. As the list lags, it adds routers but never removes one
+    /// that still sends heartbeats.
     pub fn update_list(&mut self, list: Vec<Listed>, now: Time) {
         for p in self.peers.values_mut() {
             p.listed = false;
@@ -143,16 +144,16 @@
             if l.id == self.me {
                 continue;
             }
-            let intro = Intro {
+            let addresses = RouterAddresses {
                 addr: l.addr,
-                callers: l.callers,
-                operators: None,
+                caller_addr: l.caller_addr,
+                operator_addr: None,
                 zone: l.zone.clone(),
             };
-            self.seed(l.id.clone(), intro, now);
+            self.seed(l.id.clone(), addresses, now);
             if let Some(p) = self.peers.get_mut(&l.id) {
                 let before = p.member.clone();
-                p.list(&l);
+                p.apply_list_entry(&l);
                 if p.member != before {
                     self.events.push(Event::Changed);
                 }
@@ -160,28 +161,31 @@
         }
     }
 
-    /// Notes that a router said goodbye on its connection.
+    /// Marks a router as left that said goodbye on its connection.
     pub fn mark_left(&mut self, id: &RouterId, now: Time) {
-        self.turn(id, State::Left, now);
+        self.set_state(id, State::Left, now);
     }
 
-    /// Says goodbye to everyone: this router's process ends now.
+    /// Queues heartbeats which announce that this router's process ends now.
     pub fn goodbye(&mut self) {
         self.seq += 1;
         let left = GossipUpdate {
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
-            state: ReportedState::Left,
+            reported: ReportedState::Left,
         };
         let ring = Ring::new(self.ring_ids());
         for id in self.targets(&ring) {
-            self.owed.entry(id.clone()).or_default().push(left.clone());
+            self.pending
+                .entry(id.clone())
+                .or_default()
+                .push(left.clone());
             self.send_heartbeat(&id, false);
         }
     }
 
-    /// Takes what is to be done since the last call.
+    /// Takes the events since the last call, with [`Event::Changed`] at most once.
     pub fn take_events(&mut self) -> Vec<Event> {
         let mut changed = false;
         let mut events = mem::take(&mut self.events);
@@ -192,7 +196,7 @@
         events
     }
 
-    /// Returns the routers that count: this one and all that are listed, live or suspect.
+    /// Returns the members of the fleet: this router and all that are listed, live or suspect.
     pub fn view(&self) -> Vec<Member> {
         let others = self.peers.values().map(|p| &p.member);
         let mut all: Vec<Member> = others.filter(|m| m.up()).cloned().collect();
@@ -201,12 +205,12 @@
         all
     }
 
-    /// Returns what is known of a router, whatever its state.
+    /// Returns another router, whatever its state.
     pub fn get(&self, id: &RouterId) -> Option<&Member> {
         self.peers.get(id).map(|p| &p.member)
     }
 
-    /// Returns all other routers known, also dead ones, for the dump.
+    /// Returns all other routers, including dead ones, for the dump.
     pub fn known(&self) -> impl Iterator<Item = &Member> {
         self.peers.values().map(|p| &p.member)
     }
@@ -215,10 +219,10 @@
         Member {
             id: self.me.clone(),
             incarnation: self.incarnation,
-            addr: self.intro.addr,
-            callers: self.intro.callers,
-            operators: self.intro.operators,
-            zone: self.intro.zone.clone(),
+            addr: self.addresses.addr,
+            caller_addr: self.addresses.caller_addr,
+            operator_addr: self.addresses.operator_addr,
+            zone: self.addresses.zone.clone(),
             state: State::Live,
             leaving: self.local.leaving,
             no_platform: self.local.no_platform,
@@ -230,18 +234,18 @@
         }
     }
 
-    /// Moves a router to another state and tells others.
-    pub(super) fn turn(&mut self, id: &RouterId, state: State, now: Time) {
+    /// Sets a router's state and gossips the change.
+    pub(super) fn set_state(&mut self, id: &RouterId, state: State, now: Time) {
         let n = self.peers.len();
         let Some(p) = self.peers.get_mut(id) else {
             return;
         };
         let before = p.member.state;
-        if !p.turn(state, now) {
+        if !p.set_state(state, now) {
             return;
         }
         self.events.push(Event::Changed);
-        // A listed router that is first heard is what everyone expects.
+        // The first heartbeat of a listed router is no news: all routers expect it.
         if (before, state) != (State::Listed, State::Live) {
             self.gossip.push(p.gossip_update(), n);
         }
@@ -253,14 +257,14 @@
         let Some(p) = self.peers.get(to) else {
             return;
         };
-        let mut updates = self.owed.remove(to).unwrap_or_default();
+        let mut updates = self.pending.remove(to).unwrap_or_default();
         updates.extend(self.gossip.take());
-        let known = p.member.inbound_ok && !reply_requested && self.seq % INTRO_EVERY != 0;
+        let known = p.member.inbound_ok && !reply_requested && self.seq % ADDRESSES_INTERVAL != 0;
         let heartbeat = Heartbeat {
             id: self.me.clone(),
             incarnation: self.incarnation,
             seq: self.seq,
-            intro: (!known).then(|| self.intro.clone()),
+            addresses: (!known).then(|| self.addresses.clone()),
             leaving: self.local.leaving,
             no_platform: self.local.no_platform,
             config: self.local.config,
@@ -277,11 +281,12 @@
         });
     }
 
+    /// Returns the routers whose heartbeats are due here but do not arrive.
     fn missing(&self) -> Vec<RouterId> {
         let missing = self
             .peers
             .values()
-            .filter(|p| p.due && !p.member.inbound_ok && p.member.up());
+            .filter(|p| p.expected && !p.member.inbound_ok && p.member.up());
         missing.map(|p| p.member.id.clone()).collect()
     }
 }
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -44,15 +44,15 @@
         Loader, //
     },
     peers::{
-        Links,
-        Pace, //
+        LinkTiming,
+        Links, //
     },
     policy::{
         head::Head,
         members::{
-            Intro,
             Members,
-            MembershipParams, //
+            MembershipParams,
+            RouterAddresses, //
         },
         tickets::{
             Holder,
@@ -190,10 +190,10 @@
         incarnation: incarnation(),
     };
     let clock = Clock::new();
-    let intro = Intro {
+    let intro = RouterAddresses {
         addr: settings.peers.advertise,
-        callers: settings.callers.advertise,
-        operators: Some(settings.operators.advertise),
+        caller_addr: settings.callers.advertise,
+        operator_addr: Some(settings.operators.advertise),
         zone: settings.zone.clone(),
     };
     let peer = Peer {
@@ -204,7 +204,7 @@
     };
     let seed = fastrand::u64(..);
     Router {
-        links: Links::new(me.router.clone(), me.incarnation, Pace::default()),
+        links: Links::new(me.router.clone(), me.incarnation, LinkTiming::default()),
         endpoints: endpoints::Client::new(endpoints::Options::default()),
         force: Mutex::new(InForce {
             head: Head::new(clock.now()),
