--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -150,14 +150,14 @@
 /// These lines are warnings, so that they are not dropped when a flood of requests exhausts the
 /// limit on log lines.
 fn log_rejections(gw: &Shared) {
-    let (refused, active) = {
+    let (rejected, active) = {
         let mut tables = gw.tables();
         (
             tables.tally.take(MAX_LOGGED_WORKSPACES),
             tables.fleet.is_active(),
         )
     };
-    for (workspace, outcomes) in refused {
+    for (workspace, outcomes) in rejected {
         let Outcomes {
             begun,
             slots,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -324,12 +324,12 @@
         processor: settings.instance.processor,
         ready: false,
     };
-    let beat = Span::millis(settings.fleet.heartbeat_ms);
+    let heartbeat = Span::millis(settings.fleet.heartbeat_ms);
     Actives::new(
         settings.name.clone(),
         intro,
         settings.fleet.min_active,
-        beat,
+        heartbeat,
     )
 }
 
--- a/crates/peers/src/link.rs
+++ b/crates/peers/src/link.rs
@@ -60,8 +60,7 @@
 const BUFFER_FRAMES: usize = 16;
 /// Limits the size of a frame, so that the receiver accepts it.
 const MAX_BATCH: usize = 256;
-/// A pending acknowledgement is sent after `ack_timeout` divided by this, even without
-/// messages.
+/// A pending acknowledgement is sent after `ack_timeout` divided by this, even without messages.
 const ACK_DELAY_DIVISOR: u32 = 4;
 
 /// State of the acknowledgements between this router and one peer, in both directions.
