--- a/crates/policy/src/members/peer.rs
+++ b/crates/policy/src/members/peer.rs
@@ -5,11 +5,11 @@
         intervals::IntervalStats,
         GossipUpdate,
         Heartbeat,
-        Intro,
         Listed,
         Member,
         MembershipParams,
         ReportedState,
+        RouterAddresses,
         State, //
     },
     crate::{
@@ -46,15 +46,20 @@
 }
 
 impl Peer {
-    pub(super) fn new(id: RouterId, intro: &Intro, params: &MembershipParams, now: Time) -> Peer {
+    pub(super) fn new(
+        id: RouterId,
+        addresses: &RouterAddresses,
+        params: &MembershipParams,
+        now: Time,
+    ) -> Peer {
         Peer {
             member: Member {
                 id,
                 incarnation: Incarnation::default(),
-                addr: intro.addr,
-                callers: intro.callers,
-                operators: intro.operators,
-                zone: intro.zone.clone(),
+                addr: addresses.addr,
+                caller_addr: addresses.caller_addr,
+                operator_addr: addresses.operator_addr,
+                zone: addresses.zone.clone(),
                 state: State::Listed,
                 leaving: false,
                 no_platform: false,
@@ -85,7 +90,7 @@
         self.listed = true;
         if self.member.incarnation == Incarnation::default() || self.member.state == State::Dead {
             self.member.addr = l.addr;
-            self.member.callers = l.callers;
+            self.member.caller_addr = l.caller_addr;
             self.member.zone = l.zone.clone();
         }
         self.listed_leaving_stale &= l.leaving;
@@ -137,10 +142,10 @@
         m.no_platform = b.no_platform;
         m.inbound_ok = true;
         m.outbound_ok = !b.missing.contains(me);
-        if let Some(i) = &b.intro {
+        if let Some(i) = &b.addresses {
             m.addr = i.addr;
-            m.callers = i.callers;
-            m.operators = i.operators.or(m.operators);
+            m.caller_addr = i.caller_addr;
+            m.operator_addr = i.operator_addr.or(m.operator_addr);
             m.zone = i.zone.clone();
         }
         *m != before
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -50,9 +50,9 @@
     policy::{
         head::Head,
         members::{
-            Intro,
             Members,
-            MembershipParams, //
+            MembershipParams,
+            RouterAddresses, //
         },
         tickets::{
             Holder,
@@ -190,10 +190,10 @@
         incarnation: incarnation(),
     };
     let clock = Clock::new();
-    let intro = Intro {
+    let intro = RouterAddresses {
         addr: settings.peers.advertise,
-        callers: settings.callers.advertise,
-        operators: Some(settings.operators.advertise),
+        caller_addr: settings.callers.advertise,
+        operator_addr: Some(settings.operators.advertise),
         zone: settings.zone.clone(),
     };
     let peer = Peer {
