--- a/crates/policy/src/shares/ledger.rs
+++ b/crates/policy/src/shares/ledger.rs
@@ -95,7 +95,7 @@
 
     /// Returns how many requests a workspace may queue, if it has its own limit.
     pub(crate) fn queue_limit(&self, key: Key) -> Option<usize> {
-        self.shares.queue_limit(key)
+        self.shares.queue(key)
     }
 
     /// Sets the other routers, and whether each is live.
--- a/crates/policy/src/shares/table.rs
+++ b/crates/policy/src/shares/table.rs
@@ -29,7 +29,7 @@
     }
 
     /// Returns how many requests a workspace may queue, if it has its own limit.
-    pub(crate) fn queue_limit(&self, key: Key) -> Option<usize> {
+    pub(crate) fn queue(&self, key: Key) -> Option<usize> {
         self.row(key).and_then(|r| r.2)
     }
 
