--- a/src/router/changes.rs
+++ b/src/router/changes.rs
@@ -35,7 +35,7 @@
 
 /// The list and how it came about.
 #[derive(Debug, Default)]
-pub(crate) struct Log {
+pub(crate) struct ChangeLog {
     /// Each change, with the revision it came by.
     changes: VecDeque<Change>,
     /// The revision before the oldest change.
@@ -48,9 +48,9 @@
     name: String,
 }
 
-impl Log {
+impl ChangeLog {
     /// Notes which instances differ between two lists.
-    pub(crate) fn note(&mut self, old: &Listed, new: &Listed) {
+    pub(crate) fn record(&mut self, old: &Listed, new: &Listed) {
         if new.revision <= old.revision || old.revision == 0 {
             // The list began anew, so that nothing is known of what led to it.
             self.changes.clear();
--- a/src/router/changes/tests.rs
+++ b/src/router/changes/tests.rs
@@ -1,7 +1,7 @@
 use {
     super::{
+        ChangeLog, //
         Changes,
-        Log, //
     },
     kvstore::{
         Instance,
@@ -32,11 +32,11 @@
 }
 
 fn since(have: u64, lists: &[Listed]) -> Changes {
-    let mut log = Log::default();
+    let mut log = ChangeLog::default();
     let empty = Listed::default();
     let mut last = &empty;
     for l in lists {
-        log.note(last, l);
+        log.record(last, l);
         last = l;
     }
     log.since(have, last)
--- a/src/router/list.rs
+++ b/src/router/list.rs
@@ -194,7 +194,7 @@
         if taken == Taken::IfLater && listed.revision <= old.revision {
             return;
         }
-        listing.log.note(&old, &listed);
+        listing.log.record(&old, &listed);
         listing.listed = listed;
         listing.above = None;
         drop(listing);
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -30,7 +30,7 @@
 mod work;
 
 pub(crate) use self::{
-    changes::Log,
+    changes::ChangeLog,
     delta::History,
     leave::signals,
     rules::rules,
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        changes::Log,
+        changes::ChangeLog,
         clock::Clock,
         delta::History,
         jobs::{
@@ -75,7 +75,7 @@
     /// The list.
     pub(crate) listed: Arc<Listed>,
     /// What changed in it, for peers that are behind.
-    pub(crate) log: Log,
+    pub(crate) log: ChangeLog,
     /// Replicas seen leaving by themselves, and until when that is believed.
     pub(crate) withdrawn: HashMap<ReplicaId, Time>,
     /// Since when all who read the list have a lower revision.
--- a/src/slopes/lists.rs
+++ b/src/slopes/lists.rs
@@ -8,7 +8,7 @@
             Series, //
         },
     },
-    crate::router::Log,
+    crate::router::ChangeLog,
     kvstore::{
         Instance,
         Listed,
@@ -74,9 +74,9 @@
     if let Some(i) = new.instances.get_mut(n / 2) {
         i.state = State::Leaving;
     }
-    let mut log = Log::default();
-    log.note(&Listed::default(), &old);
-    log.note(&old, &new);
+    let mut log = ChangeLog::default();
+    log.record(&Listed::default(), &old);
+    log.record(&old, &new);
     let changes = log.since(old.revision, &new);
     let bytes = rmp_serde::to_vec(&changes).map_or(0, |b| b.len());
     (bytes as f64 + HEADS) * CHANGES
