--- a/src/demo/stage.rs
+++ b/src/demo/stage.rs
@@ -7,7 +7,7 @@
         errors::Error,
         router::{
             self,
-            Started, //
+            RouterHandle, //
         },
     },
     async_std::task,
@@ -43,7 +43,7 @@
 
 /// A running fleet.
 pub(crate) struct Stage {
-    pub(crate) routers: Vec<Started>,
+    pub(crate) routers: Vec<RouterHandle>,
     pub(crate) engines: Vec<Arc<engine::Handle>>,
     pub(crate) plains: Vec<plain::Handle>,
     _platform: stand_in::Handle,
@@ -159,7 +159,7 @@
     /// Ends the routers as SIGTERM would.
     pub(crate) async fn end(self) {
         for r in &self.routers {
-            r.end().await;
+            r.shut_down().await;
         }
     }
 }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -37,7 +37,7 @@
     start::{
         run,
         start,
-        Started, //
+        RouterHandle, //
     },
     state::Router,
 };
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -88,7 +88,7 @@
 const TICKET_TICK: Duration = Duration::from_secs(1);
 
 /// A router that runs in this process.
-pub(crate) struct Started {
+pub(crate) struct RouterHandle {
     /// Its tables.
     pub(crate) router: Arc<Router>,
     server: Server,
@@ -107,7 +107,7 @@
     task::block_on(async {
         let started = start(settings, listeners);
         wait_for_end(&started.router, ends).await;
-        started.end().await;
+        started.shut_down().await;
     });
     Ok(())
 }
@@ -126,7 +126,7 @@
 }
 
 /// Starts a router's tasks.
-pub(crate) fn start(settings: Settings, listeners: Listeners) -> Started {
+pub(crate) fn start(settings: Settings, listeners: Listeners) -> RouterHandle {
     let limits = settings.limits.clone();
     let router = Arc::new(make(settings));
     let handler = router.clone();
@@ -153,7 +153,7 @@
     keep("tick", &router, tick);
     keep("tick_tickets", &router, tick_tickets);
     log::info!("router: {} is up", router.me.router);
-    Started { router, server }
+    RouterHandle { router, server }
 }
 
 /// Runs a task for as long as the process runs, again where it panicked.
@@ -177,9 +177,9 @@
     });
 }
 
-impl Started {
+impl RouterHandle {
     /// Ends it without cutting a request in flight.
-    pub(crate) async fn end(&self) {
+    pub(crate) async fn shut_down(&self) {
         leave::end(&self.router, &self.server).await;
     }
 }
--- a/src/router/tests/fleet.rs
+++ b/src/router/tests/fleet.rs
@@ -4,7 +4,7 @@
         conf::Settings,
         router::{
             start,
-            Started, //
+            RouterHandle, //
         },
     },
     kvstore::store::{
@@ -22,7 +22,7 @@
     },
 };
 
-fn alone(name: &str, platform: SocketAddr, seeds: Vec<SocketAddr>) -> Started {
+fn alone(name: &str, platform: SocketAddr, seeds: Vec<SocketAddr>) -> RouterHandle {
     let (name, zone) = (name.parse().unwrap(), "hall-a".parse().unwrap());
     let mut settings = Settings::loopback(name, zone, platform);
     settings.seeds = seeds;
--- a/src/router/tests/stage.rs
+++ b/src/router/tests/stage.rs
@@ -7,7 +7,7 @@
             requests::handle,
             start,
             state::lock,
-            Started, //
+            RouterHandle, //
         },
     },
     async_std::task,
@@ -44,7 +44,7 @@
 const BOUND: Duration = Duration::from_secs(60);
 
 pub(crate) struct Stage {
-    pub(crate) routers: Vec<Started>,
+    pub(crate) routers: Vec<RouterHandle>,
     _platform: stand_in::Handle,
 }
 
