--- a/src/measure/run.rs
+++ b/src/measure/run.rs
@@ -22,7 +22,7 @@
     crate::{
         cli::Measure,
         errors::Error,
-        router::signals,
+        router::receive_signals,
         slopes, //
     },
     async_std::task,
@@ -59,7 +59,7 @@
 
 /// Measures until done, or until a signal tells to end; the router processes end with it.
 fn until_told(work: impl Future<Output = Result<(), Error>>) -> Result<(), Error> {
-    let told = signals().map_err(|e| Error::Io("signals can't be taken", e))?;
+    let told = receive_signals().map_err(|e| Error::Io("signals can't be taken", e))?;
     task::block_on(or(work, async {
         let _ = told.recv().await;
         Err(Error::Failed(
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -13,7 +13,6 @@
 mod delta;
 mod inbox;
 mod jobs;
-mod leave;
 mod list;
 mod loads;
 mod messages;
@@ -22,6 +21,7 @@
 mod requests;
 mod rules;
 mod running;
+mod shutdown;
 mod start;
 mod state;
 mod tally;
@@ -32,8 +32,8 @@
 pub(crate) use self::{
     changes::ChangeLog,
     delta::History,
-    leave::signals,
     rules::rules,
+    shutdown::receive_signals,
     start::{
         run,
         start,
--- a/src/router/leave.rs
+++ b/src/router/shutdown.rs
@@ -41,7 +41,7 @@
 const GOODBYE: Duration = Duration::from_millis(300);
 
 /// Passes on the signals that end a router.
-pub(crate) fn signals() -> io::Result<Receiver<()>> {
+pub(crate) fn receive_signals() -> io::Result<Receiver<()>> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let (tx, rx) = bounded(1);
     std::thread::spawn(move || {
@@ -68,7 +68,7 @@
 /// Callers keep an address for a while, so the listener stays open that long and refuses
 /// what comes as not run. It would otherwise show as refused connections at callers that
 /// did nothing wrong. What runs is finished, however long it takes.
-pub(crate) async fn end(router: &Arc<Router>, server: &Server) {
+pub(crate) async fn shut_down(router: &Arc<Router>, server: &Server) {
     router.leave();
     let mut waited = Duration::ZERO;
     while waited < LINGER && server.connections() > 0 {
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -11,11 +11,11 @@
         delta::History,
         inbox,
         jobs::Jobs,
-        leave,
         list,
         loads,
         report,
         requests,
+        shutdown,
         state::{
             lock,
             InForce,
@@ -98,7 +98,7 @@
 pub(crate) fn run(mut settings: Settings) -> Result<(), Error> {
     let listeners = settings.bind()?;
     operators::start_metrics();
-    let ends = leave::signals().map_err(|e| {
+    let ends = shutdown::receive_signals().map_err(|e| {
         Error::Failed(
             format!("signals can't be taken: {e}"),
             "start it as an ordinary process".to_owned(),
@@ -180,7 +180,7 @@
 impl RouterHandle {
     /// Ends it without cutting a request in flight.
     pub(crate) async fn shut_down(&self) {
-        leave::end(&self.router, &self.server).await;
+        shutdown::shut_down(&self.router, &self.server).await;
     }
 }
 
