--- a/src/router/work.rs
+++ b/src/router/admitted.rs
@@ -1,4 +1,4 @@
-//! A request as it was admitted, and the calls that are made for it.
+//! An admitted request, and the calls to endpoints that are made for it.
 
 use {
     callers::RequestId,
@@ -27,13 +27,14 @@
     xxhash_rust::xxh3::Xxh3,
 };
 
-/// The least silence of a stream after which it is probed.
-pub(crate) const SILENCE: Duration = Duration::from_secs(2);
-/// Part of the time left that a plain call may be silent, so that there is time to try again.
-const SILENT_PART: u32 = 3;
+/// Silence of a stream after which it is probed; also the shortest timeout of a plain call.
+pub(crate) const SILENCE_TIMEOUT: Duration = Duration::from_secs(2);
+/// A plain call may be silent for the time left divided by this, so that a retry has time.
+const SILENCE_DIVISOR: u32 = 3;
+
 /// A request as it was admitted.
 #[derive(Debug)]
-pub(crate) struct Work {
+pub(crate) struct AdmittedRequest {
     pub(crate) job: Job,
     pub(crate) profile: ProfileName,
     pub(crate) streamed: bool,
@@ -49,9 +50,9 @@
     pub(crate) deadline: Instant,
 }
 
-impl Work {
-    /// Returns a hash of what is asked of whom, which a ticket stands for.
-    pub(crate) fn print(&self) -> u64 {
+impl AdmittedRequest {
+    /// Returns a hash of the request, which tells whether a ticket is used for another one.
+    pub(crate) fn fingerprint(&self) -> u64 {
         let mut hash = Xxh3::new();
         let names = [
             self.job.service.as_str(),
@@ -67,16 +68,16 @@
         hash.digest()
     }
 
-    /// Makes the call of one try; none where the replica or the method can't be used.
+    /// Builds the call of one attempt; none if the replica's address or the method is invalid.
     pub(crate) fn call(
         &self,
         replica: &ReplicaId,
         grant: Option<&Grant>,
-        tries: u32,
+        attempt: u32,
     ) -> Option<Call> {
         let addr: SocketAddr = replica.as_str().parse().ok()?;
         Some(Call {
-            id: self.call_id(grant, tries)?,
+            id: self.call_id(grant, attempt)?,
             replica: addr,
             method: self.method.parse().ok()?,
             path: self.target.clone(),
@@ -99,25 +100,25 @@
 
     /// Returns how long the endpoint may be silent.
     ///
-    /// A plain service says nothing until its answer is ready, so silence proves little: a
-    /// call that may be repeated is tried elsewhere while there is time, and one that may
-    /// not is waited for. Given up early it would end as may-have-run, though its answer
-    /// was only slow.
+    /// A plain service sends nothing until its answer is ready, so silence proves little. A
+    /// call that may be repeated is retried elsewhere while there is time. One that may not is
+    /// awaited until its deadline: given up early, it would end as may-have-run although its
+    /// answer was only slow.
     fn silence(&self) -> Duration {
         let left = self.deadline.saturating_duration_since(Instant::now());
         match (self.streamed, self.idempotent) {
-            (true, _) => SILENCE,
-            (false, true) => (left / SILENT_PART).max(SILENCE),
+            (true, _) => SILENCE_TIMEOUT,
+            (false, true) => (left / SILENCE_DIVISOR).max(SILENCE_TIMEOUT),
             (false, false) => left,
         }
     }
 
-    /// Names this try. A ticket's own text names a request that may not be repeated, so
-    /// that an endpoint can tell a second run from a first.
-    fn call_id(&self, grant: Option<&Grant>, tries: u32) -> Option<CallId> {
+    /// Returns the id of an attempt. A request that may not be repeated has its ticket as the
+    /// id, so that an endpoint can recognize a second run.
+    fn call_id(&self, grant: Option<&Grant>, attempt: u32) -> Option<CallId> {
         let text = match grant {
             Some(grant) => grant.ticket().to_string().replace('/', "."),
-            None => format!("{}.{:016x}.{}", self.id, fastrand::u64(..), tries),
+            None => format!("{}.{:016x}.{}", self.id, fastrand::u64(..), attempt),
         };
         text.parse().ok()
     }
--- a/src/router/changes.rs
+++ b/src/router/changes.rs
@@ -1,4 +1,4 @@
-//! What changed in the list of instances, as it goes to a peer.
+//! Changes to the list of instances, as sent to a peer.
 
 use {
     kvstore::{
@@ -17,29 +17,29 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Changes that are remembered. A peer that is further behind gets the whole list.
-const REMEMBERED: usize = 2_000;
+/// Number of changes that are kept. A peer that is further behind gets the complete list.
+const CHANGE_LIMIT: usize = 2_000;
 
-/// The list, as changes to one that the receiver has.
+/// A list, as the difference to one that the receiver has.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct Changes {
     pub(crate) revision: u64,
-    /// The revision that the changes start from; none where they bring all.
+    /// The revision that the changes start from; none if they contain the complete list.
     pub(crate) base: Option<u64>,
     pub(crate) present: Vec<Instance>,
-    /// Names of instances that are gone.
+    /// Names of instances that were removed.
     pub(crate) gone: Vec<String>,
-    /// Hash of the whole list, so that a wrong base is noticed.
+    /// Hash of the complete list, to detect a wrong base.
     pub(crate) hash: Hash,
 }
 
-/// The list and how it came about.
+/// The latest changes to the list.
 #[derive(Debug, Default)]
 pub(crate) struct ChangeLog {
-    /// Each change, with the revision it came by.
+    /// The changes, oldest first.
     changes: VecDeque<Change>,
     /// The revision before the oldest change.
-    first: u64,
+    oldest_base: u64,
 }
 
 #[derive(Debug)]
@@ -49,12 +49,12 @@
 }
 
 impl ChangeLog {
-    /// Notes which instances differ between two lists.
+    /// Records which instances differ between two lists.
     pub(crate) fn record(&mut self, old: &Listed, new: &Listed) {
         if new.revision <= old.revision || old.revision == 0 {
-            // The list began anew, so that nothing is known of what led to it.
+            // The numbering was restarted, or this is the first list: its history is unknown.
             self.changes.clear();
-            self.first = new.revision;
+            self.oldest_base = new.revision;
             return;
         }
         let before = by_name(old);
@@ -68,16 +68,16 @@
                 name: (*name).to_owned(),
             });
         }
-        while self.changes.len() > REMEMBERED {
+        while self.changes.len() > CHANGE_LIMIT {
             if let Some(old) = self.changes.pop_front() {
-                self.first = old.revision;
+                self.oldest_base = old.revision;
             }
         }
     }
 
-    /// Makes the changes from a revision to the list.
+    /// Returns the changes from a revision to the list.
     pub(crate) fn since(&self, have: u64, listed: &Listed) -> Changes {
-        if have < self.first || have > listed.revision || have == 0 {
+        if have < self.oldest_base || have > listed.revision || have == 0 {
             return Changes {
                 revision: listed.revision,
                 base: None,
@@ -108,11 +108,11 @@
 }
 
 impl Changes {
-    /// Puts the list together; none where it starts from another one.
+    /// Applies the changes; none if `have` is not the list that they start from.
     ///
-    /// A platform that was restarted gives out the same revisions again, for other lists.
-    /// Changes to one of these, made to the older one, would leave instances that are gone,
-    /// or hide some that are there, until they change again. The hash tells.
+    /// A restarted platform assigns the same revisions again, to other lists. Changes applied
+    /// to the wrong one would keep instances that were removed, or lack some that exist, until
+    /// these change again. The hash detects that.
     pub(crate) fn apply(self, have: &Listed) -> Option<Listed> {
         if self.base.is_some_and(|base| base != have.revision) {
             return None;
@@ -141,7 +141,7 @@
     }
 }
 
-/// Returns the hash of a list, whatever its order.
+/// Returns the hash of a list, which does not depend on its order.
 fn hash(listed: &Listed) -> Hash {
     let mut sorted: Vec<&Instance> = listed.instances.iter().collect();
     sorted.sort_by(|a, b| a.name.cmp(&b.name));
--- a/src/router/changes/tests.rs
+++ b/src/router/changes/tests.rs
@@ -74,9 +74,9 @@
 }
 
 #[test]
-fn since_list_began_anew() {
-    // Endpoints that are gone would get work for ever. The platform was restored and
-    // counts its list from a lower number again, so the changes noted before mean nothing.
+fn since_renumbered_list() {
+    // Guards against removed endpoints getting requests forever: a restored platform numbers
+    // its list from a lower revision, so the changes recorded before are invalid.
     let lists = [listed(8, &["a", "b"]), listed(9, &["a"]), listed(2, &["c"])];
     let changes = since(1, &lists);
     assert_eq!(changes.base, None);
@@ -85,9 +85,9 @@
 
 #[test]
 fn apply_same_revision_other_list() {
-    // An endpoint that is gone gets work until it changes again. A router was cut off while
-    // the platform began its list anew; the new one has come to the router's revision, and
-    // what changed since is put on top of the old list.
+    // Guards against a removed endpoint getting requests. A router is disconnected while the
+    // platform restarts the numbering of its list. When the new list has reached the router's
+    // revision, changes since that revision must not be applied to the old list.
     let lists = [listed(1, &["a"]), listed(2, &["a", "b"]), listed(3, &["a"])];
     let changes = since(2, &lists);
     assert_eq!(changes.clone().apply(&lists[1]), Some(lists[2].clone()));
--- a/src/router/clock.rs
+++ b/src/router/clock.rs
@@ -12,7 +12,7 @@
     },
 };
 
-/// Reads the monotonic clock, as the time since the process started.
+/// A monotonic clock that counts from its creation.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     start: Instant,
@@ -30,10 +30,10 @@
     }
 }
 
-/// Returns a number for this start of the router, higher than that of any earlier start.
+/// Returns the incarnation of this start of the router, higher than that of any earlier start.
 ///
-/// It is taken from the wall clock, the only thing that outlives a process without a disk.
-/// Random bits below the milliseconds keep two starts apart if the clock was set back.
+/// It is taken from the wall clock, as a process without a disk keeps nothing else over a
+/// restart. Random bits below the milliseconds distinguish two starts if the clock was set back.
 pub(crate) fn incarnation() -> Incarnation {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let millis = since.map_or(0, |d| d.as_millis() as u64);
--- a/src/router/told.rs
+++ b/src/router/completion.rs
@@ -1,9 +1,9 @@
-//! What is told of a request's end: to the dispatch, and to the caller.
+//! How the end of a request is reported to the dispatch and to the caller.
 
 use {
-    super::work::{
-        Work,
-        SILENCE, //
+    super::admitted::{
+        AdmittedRequest,
+        SILENCE_TIMEOUT, //
     },
     callers::{
         Refused,
@@ -27,28 +27,29 @@
     },
 };
 
-/// What the dispatch is told of the end of a call that ran for a while.
-pub(crate) fn finish(work: &Work, end: &End, ran: Duration) -> Completion {
-    // One workspace whose deadlines are too short for any endpoint would have all
-    // replicas taken for failing. It would show as capacity that idles for everyone.
-    let rushed = ran < SILENCE && work.deadline <= Instant::now();
+/// Returns the report to the dispatch about a call that ended after `ran`.
+pub(crate) fn completion_of(request: &AdmittedRequest, end: &End, ran: Duration) -> Completion {
+    // A deadline that no endpoint could meet is not the replica's failure. Otherwise one
+    // workspace with such deadlines would make all replicas look failed, and their capacity
+    // would stay unused for everyone.
+    let short_deadline = ran < SILENCE_TIMEOUT && request.deadline <= Instant::now();
     let answered = end.outcome == Outcome::Answered;
-    let units = match work.unit {
+    let units = match request.unit {
         Unit::Tokens => Units(f64::from(end.tokens)),
-        Unit::Requests if answered => work.weight,
+        Unit::Requests if answered => request.weight,
         Unit::Requests => Units(0.0),
     };
     Completion {
         units,
         first_byte: end.first,
         token_gap: end.gap,
-        ok: answered || end.cause.is_none() || rushed,
+        ok: answered || end.cause.is_none() || short_deadline,
         refund: units == Units(0.0),
     }
 }
 
-/// What a caller is told whose answer was lost or never came about.
-pub(crate) fn lost(end: &End) -> Refused {
+/// Returns the error for a caller whose request got no complete answer.
+pub(crate) fn failure(end: &End) -> Refused {
     let cause = end
         .cause
         .as_ref()
@@ -66,19 +67,19 @@
     }
 }
 
-pub(crate) fn gone_response(outcome: Outcome) -> Response {
+pub(crate) fn hung_up_response(outcome: Outcome) -> Response {
     Refused::new(Why::AnswerLost, "the caller hung up")
         .outcome(outcome)
         .into()
 }
 
-pub(crate) fn internal(message: &str) -> Response {
+pub(crate) fn internal_error(message: &str) -> Response {
     Refused::new(Why::Internal, message)
         .outcome(Outcome::NotRun)
         .into()
 }
 
-pub(crate) fn pairs(headers: &[Header]) -> Vec<(String, String)> {
+pub(crate) fn header_pairs(headers: &[Header]) -> Vec<(String, String)> {
     headers
         .iter()
         .map(|h| (h.name.clone(), h.value.clone()))
--- a/src/router/config.rs
+++ b/src/router/config.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: from the platform for a few watchers, from peers for all.
+//! The configuration in force: a few watchers get it from the platform, all others from peers.
 
 use {
     super::{
@@ -48,66 +48,67 @@
     },
 };
 
-/// Pause of a router that does not watch, before it looks whether it should.
-const LOOK: Duration = Duration::from_millis(250);
-/// How soon a router that lost the platform, and does not watch, tries again.
-const AGAIN: Span = Span::secs(30);
+/// How often a router that does not watch checks whether it has become a watcher.
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Delay before a router that lost the platform, and is no watcher, tries it again.
+const PLATFORM_RETRY_INTERVAL: Span = Span::secs(30);
 /// How long a peer may take to answer.
-const ASK: Duration = Duration::from_secs(2);
-/// How often hanging fetches are looked after.
-const TICK: Duration = Duration::from_millis(250);
+const FETCH_TIMEOUT: Duration = Duration::from_secs(2);
+/// How often fetches are checked for timeouts.
+const FETCH_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Watches the platform while this router is one of the watchers.
 pub(crate) async fn watch(router: Arc<Router>) {
     let kv = Kv::new(router.platform_options());
     let mut watcher = Watcher::new();
-    let mut tried = router.now();
+    let mut last_attempt = router.now();
     loop {
-        if !router.watches("config") && !router.tries_again(tried) {
-            task::sleep(LOOK).await;
+        if !router.watches("config") && !router.should_retry_platform(last_attempt) {
+            task::sleep(ROLE_CHECK_INTERVAL).await;
             continue;
         }
-        tried = router.now();
-        let have = lock(&router.force).config.clone();
+        last_attempt = router.now();
+        let have = lock(&router.current_config).config.clone();
         let next = watcher.next(&kv, have.as_deref()).await;
         let lost = matches!(next, Err(ReadError::Kv(_)));
         router.no_platform.store(lost, Ordering::Relaxed);
         match next {
-            Ok(seen) => router.seen(&kv, seen).await,
-            Err(e) => log::debug!("platform: the configuration can't be read: {e}"),
+            Ok(seen) => router.handle_seen(&kv, seen).await,
+            Err(e) => log::debug!("platform: can't read the configuration: {e}"),
         }
     }
 }
 
-/// Tries fetches that hang at other sources.
-pub(crate) async fn tend(router: Arc<Router>) {
+/// Retries stuck fetches from other sources.
+pub(crate) async fn retry_fetches(router: Arc<Router>) {
     loop {
-        let decision = lock(&router.force).head.tick(router.now());
-        router.follow_head(decision);
-        task::sleep(TICK).await;
+        let decision = lock(&router.current_config).head.tick(router.now());
+        router.follow_decision(decision);
+        task::sleep(FETCH_CHECK_INTERVAL).await;
     }
 }
 
 impl Router {
-    /// Tells whether to look if the platform is back.
+    /// Returns whether to check if the platform is reachable again.
     ///
-    /// A router that lost the platform is no watcher while others reach it. It would stay
-    /// out for good, and a fleet that lost it in turn would have no watcher left, if it did
-    /// not try again by itself.
-    fn tries_again(&self, tried: Time) -> bool {
-        self.no_platform.load(Ordering::Relaxed) && self.now().since(tried) > AGAIN
+    /// A router that lost the platform is no watcher while others reach it. If it did not try
+    /// again by itself, it would never become one again, and once all routers had lost the
+    /// platform one after the other, the fleet would have no watcher left.
+    fn should_retry_platform(&self, last_attempt: Time) -> bool {
+        self.no_platform.load(Ordering::Relaxed)
+            && self.now().since(last_attempt) > PLATFORM_RETRY_INTERVAL
     }
 
-    async fn seen(&self, kv: &Kv, seen: Seen) {
+    async fn handle_seen(&self, kv: &Kv, seen: Seen) {
         match seen {
             Seen::Same => self.confirm_platform(),
             Seen::Newer(config) => {
-                self.take_config(config, &Source::Platform);
+                self.apply_config(config, &Source::Platform);
             }
             Seen::Older { revision } => {
                 log::warn!(
                     "config: the platform has revision {revision}, older than the one in \
-                     force, which stays; it is written back"
+                     force, which is kept and written back"
                 );
                 self.write_back(kv).await;
             }
@@ -119,15 +120,15 @@
     }
 
     fn confirm_platform(&self) {
-        let mut force = lock(&self.force);
-        if let Some(revision) = force.head.revision() {
+        let mut current = lock(&self.current_config);
+        if let Some(revision) = current.head.revision() {
             let now = self.clock.now();
-            force.head.offer(revision, Source::Platform, now);
+            current.head.offer(revision, Source::Platform, now);
         }
     }
 
     async fn write_back(&self, kv: &Kv) {
-        let Some(config) = lock(&self.force).config.clone() else {
+        let Some(config) = lock(&self.current_config).config.clone() else {
             return;
         };
         match repair(kv, &config).await {
@@ -135,21 +136,21 @@
                 log::warn!("config: revision {} was written back", config.revision);
             }
             Ok(Repaired::NotNeeded) => {}
-            Err(e) => log::warn!("config: it can't be written back yet: {e}"),
+            Err(e) => log::warn!("config: the write-back failed: {e}"),
         }
     }
 
-    /// Learns from a heartbeat which configuration a peer has in force.
-    pub(crate) fn config_head(self: &Arc<Router>, from: &RouterId, revision: u64) {
+    /// Records the configuration revision of a peer's heartbeat, and fetches it if newer.
+    pub(crate) fn observe_peer_config(self: &Arc<Router>, from: &RouterId, revision: u64) {
         let source = Source::Peer(from.clone());
         let now = self.now();
-        let decision = lock(&self.force)
+        let decision = lock(&self.current_config)
             .head
             .offer(Revision(revision), source, now);
-        self.follow_head(decision);
+        self.follow_decision(decision);
     }
 
-    fn follow_head(self: &Arc<Router>, decision: Decision) {
+    fn follow_decision(self: &Arc<Router>, decision: Decision) {
         let Decision::Fetch {
             from: Source::Peer(peer),
             ..
@@ -158,29 +159,29 @@
             return;
         };
         let router = self.clone();
-        task::spawn(async move { router.fetch(peer).await });
+        task::spawn(async move { router.fetch_config(peer).await });
     }
 
-    async fn fetch(self: &Arc<Router>, peer: RouterId) {
+    async fn fetch_config(self: &Arc<Router>, peer: RouterId) {
         let source = Source::Peer(peer.clone());
-        let known = lock(&self.force).config.clone();
+        let known = lock(&self.current_config).config.clone();
         let have = known.as_ref().map_or(Revision::NONE, |c| c.revision);
-        let mut config = self.config_of(&peer, have, known.as_deref()).await;
-        // The peer may have had another text under the revision in force here, as after a
-        // restored platform. What changed since then fits nothing here, however often it
-        // is asked for, so the whole is.
+        let mut config = self.request_config(&peer, have, known.as_deref()).await;
+        // The peer may have another text under the revision in force here, for example after a
+        // restore of the platform. Its delta would then never apply, so the complete
+        // configuration is requested.
         if config.is_none() && known.is_some() {
-            config = self.config_of(&peer, Revision::NONE, None).await;
+            config = self.request_config(&peer, Revision::NONE, None).await;
         }
-        let taken = config.is_some_and(|c| self.take_config(c, &source));
-        if !taken {
-            let decision = lock(&self.force).head.failed(&source, self.now());
-            self.follow_head(decision);
+        let valid = config.is_some_and(|c| self.apply_config(c, &source));
+        if !valid {
+            let decision = lock(&self.current_config).head.failed(&source, self.now());
+            self.follow_decision(decision);
         }
     }
 
-    /// Asks a peer for its configuration, as changes to the one that is known here.
-    async fn config_of(
+    /// Requests a peer's configuration, as a delta to the one known here.
+    async fn request_config(
         &self,
         peer: &RouterId,
         have: Revision,
@@ -188,25 +189,25 @@
     ) -> Option<Config> {
         let addr = self.links.addr(peer)?;
         let question = Question::Config(have);
-        match self.links.ask(addr, &question, ASK).await {
+        match self.links.ask(addr, &question, FETCH_TIMEOUT).await {
             Ok(Answer::Config(Some(delta))) => delta.apply(known),
             _ => None,
         }
     }
 
-    /// Returns what a peer lacks of the configuration, if this router has a higher one.
-    pub(crate) fn config_above(&self, have: Revision) -> Option<Delta> {
-        let force = lock(&self.force);
-        let config = force.config.as_ref()?;
-        (config.revision > have).then(|| force.history.delta(config, have))
+    /// Returns the delta from a peer's revision, if this router has a higher one.
+    pub(crate) fn config_delta_since(&self, have: Revision) -> Option<Delta> {
+        let current = lock(&self.current_config);
+        let config = current.config.as_ref()?;
+        (config.revision > have).then(|| current.history.delta(config, have))
     }
 
     /// Puts a configuration in force, if it is valid and higher than the one in force.
     ///
-    /// Returns whether it is usable, in force or not.
-    pub(crate) fn take_config(&self, config: Config, from: &Source) -> bool {
-        let mut force = lock(&self.force);
-        let fleet = match force.loader.load(&config) {
+    /// Returns whether it is valid, also if it was not put in force.
+    pub(crate) fn apply_config(&self, config: Config, from: &Source) -> bool {
+        let mut current = lock(&self.current_config);
+        let fleet = match current.loader.load(&config) {
             Ok(fleet) => fleet,
             Err(e) => {
                 log::error!("config: revision {} is not valid: {e}", config.revision);
@@ -215,7 +216,7 @@
         };
         let revision = config.revision;
         let hash = delta::hash(&config.parts);
-        match force.head.fetched(revision, hash, self.clock.now()) {
+        match current.head.fetched(revision, hash, self.clock.now()) {
             FetchOutcome::InForce => {}
             FetchOutcome::Old => return true,
             FetchOutcome::Conflict { ours, theirs } => {
@@ -227,15 +228,15 @@
             }
         }
         let rules = rules(fleet.document());
-        force.fleet = Arc::new(fleet);
-        force.history.push(&config);
-        force.config = Some(Arc::new(config));
+        current.fleet = Arc::new(fleet);
+        current.history.push(&config);
+        current.config = Some(Arc::new(config));
         log::info!("config: revision {revision} of {from} is in force");
-        // Rules follow in the order of revisions only while the table stays locked.
+        // The lock is held so that rules reach the dispatch in the order of revisions.
         self.dispatch(|d, now| d.configure(rules, now));
-        drop(force);
+        drop(current);
         metrics::gauge!("chervilwind_config_revision").set(revision.0 as f64);
-        self.apply_list();
+        self.update_replicas();
         true
     }
 }
--- a/src/router/delta.rs
+++ b/src/router/delta.rs
@@ -1,4 +1,4 @@
-//! What changed between two configurations, as it goes to a peer.
+//! Differences between two configurations, as sent to a peer.
 
 use {
     kvstore::store::{
@@ -23,67 +23,67 @@
     xxhash_rust::xxh3::xxh3_64,
 };
 
-/// Configurations whose parts are remembered. A peer that is further behind gets all.
-const REMEMBERED: usize = 64;
-/// Name that parts get before their place, as those who write configurations call them.
-const PART: &str = "fleet";
+/// Number of configurations whose parts are kept. A peer that is further behind gets all parts.
+const HISTORY_LIMIT: usize = 64;
+/// Prefix of the names of parts, before their position; the same as in stored configurations.
+const PART_PREFIX: &str = "fleet";
 
-/// A configuration, as changes to one that the receiver has.
+/// A configuration, as the difference to one that the receiver has.
 ///
-/// 64,000 changes a day of a configuration of half a megabyte would take all of a node's
-/// control traffic; a change touches one part or two, and the rest is named by its place.
+/// Sent in full, 64,000 changes a day of a configuration of half a megabyte would use up all of
+/// a node's control traffic. A change touches one part or two; the rest is sent as positions.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct Delta {
     pub(crate) revision: Revision,
     pub(crate) writer: String,
     pub(crate) write: WriteId,
-    /// The revision that the steps start from; none where they bring all.
+    /// The revision that the steps start from; none if they contain all parts.
     pub(crate) base: Option<Revision>,
     pub(crate) steps: Vec<Step>,
-    /// Hash of the whole text, so that a wrong base is noticed.
+    /// Hash of the complete text, to detect a wrong base.
     pub(crate) hash: Hash,
 }
 
-/// One step of putting a configuration together.
+/// One step of assembling a configuration.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Step {
     /// Parts of the base.
     Copy {
-        /// The place of the first.
+        /// The position of the first.
         first: u32,
-        /// How many.
+        /// Number of parts.
         count: u32,
     },
     /// A part with this text.
     New(Arc<str>),
 }
 
-/// The parts of the configurations that were in force of late.
+/// The hashes of the parts of recent configurations.
 #[derive(Debug, Default)]
 pub(crate) struct History {
-    heads: VecDeque<Past>,
+    entries: VecDeque<PastConfig>,
 }
 
 #[derive(Debug)]
-struct Past {
+struct PastConfig {
     revision: Revision,
     parts: Vec<PartHash>,
 }
 
 impl History {
     pub(crate) fn push(&mut self, config: &Config) {
-        self.heads.push_back(Past {
+        self.entries.push_back(PastConfig {
             revision: config.revision,
             parts: config.parts.iter().map(Part::hash).collect(),
         });
-        if self.heads.len() > REMEMBERED {
-            self.heads.pop_front();
+        if self.entries.len() > HISTORY_LIMIT {
+            self.entries.pop_front();
         }
     }
 
-    /// Makes the delta from a revision to `config`.
+    /// Returns the delta from a revision to `config`.
     pub(crate) fn delta(&self, config: &Config, have: Revision) -> Delta {
-        let base = self.heads.iter().find(|p| p.revision == have);
+        let base = self.entries.iter().find(|p| p.revision == have);
         Delta {
             revision: config.revision,
             writer: config.writer.clone(),
@@ -96,12 +96,12 @@
 }
 
 fn steps(base: &[PartHash], parts: &[Part]) -> Vec<Step> {
-    let places: HashMap<&PartHash, u32> = base.iter().zip(0..).collect();
+    let positions: HashMap<&PartHash, u32> = base.iter().zip(0..).collect();
     let mut steps = Vec::new();
     for part in parts {
-        let place = places.get(&part.hash()).copied();
-        match (place, steps.last_mut()) {
-            (Some(place), Some(Step::Copy { first, count })) if *first + *count == place => {
+        let position = positions.get(&part.hash()).copied();
+        match (position, steps.last_mut()) {
+            (Some(position), Some(Step::Copy { first, count })) if *first + *count == position => {
                 *count += 1;
             }
             (Some(first), _) => steps.push(Step::Copy { first, count: 1 }),
@@ -112,7 +112,7 @@
 }
 
 impl Delta {
-    /// Puts the configuration together; none where the base is not the one meant.
+    /// Assembles the configuration; none if `have` is not the base of the delta.
     pub(crate) fn apply(self, have: Option<&Config>) -> Option<Config> {
         let base = match self.base {
             None => &[],
@@ -132,7 +132,7 @@
         let parts: Vec<Part> = texts
             .into_iter()
             .enumerate()
-            .map(|(i, text)| Part::new(format!("{PART}.{i}"), text))
+            .map(|(i, text)| Part::new(format!("{PART_PREFIX}.{i}"), text))
             .collect();
         (hash(&parts) == self.hash).then_some(Config {
             revision: self.revision,
@@ -143,7 +143,7 @@
     }
 }
 
-/// Returns the hash of the whole text.
+/// Returns the hash of the complete text.
 pub(crate) fn hash(parts: &[Part]) -> Hash {
     Hash(xxh3_64(kvstore::store::join(parts).as_bytes()))
 }
--- a/src/router/delta/tests.rs
+++ b/src/router/delta/tests.rs
@@ -60,9 +60,9 @@
 
 #[test]
 fn delta_onto_another_base() {
-    // A router would serve shares that no operator ever wrote. Its peer made the delta
-    // from a configuration of the same number but another text, as after a restored
-    // platform; put onto this one it would give a mixture of both.
+    // Guards against a router that uses shares which no operator ever wrote: after a restore of
+    // the platform, a peer's delta may start from a configuration with the same revision but
+    // another text. Applied here, it would give a mixture of both.
     let old = config(3, &["a", "b", "c"]);
     let other = config(3, &["a", "B", "c"]);
     let new = config(4, &["a", "b", "x"]);
--- a/src/router/beat.rs
+++ b/src/router/heartbeats.rs
@@ -1,11 +1,11 @@
-//! Heartbeats: who the other routers are.
+//! Heartbeats and membership: which other routers are up.
 
 use {
     super::{
         messages::{
             Answer,
-            Item,
-            Known,
+            KnownRouter,
+            PeerMessage,
             Question, //
         },
         state::{
@@ -35,33 +35,36 @@
     },
 };
 
-/// How often the members are looked after.
-const TICK: Duration = Duration::from_millis(125);
-/// How often the addresses that the settings name are asked while nobody else is known.
-const SEEDING: Duration = Duration::from_millis(500);
-/// How long a peer may take to answer a greeting.
-const HELLO: Duration = Duration::from_secs(1);
+/// How often the membership state machine is advanced.
+const TICK_INTERVAL: Duration = Duration::from_millis(125);
+/// How often the seed addresses are contacted while no other router is known.
+const SEED_INTERVAL: Duration = Duration::from_millis(500);
+/// How long a peer may take to answer a hello.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Keeps the members up to date for as long as the process runs.
 pub(crate) async fn run(router: Arc<Router>) {
-    task::spawn(greet(router.clone()));
+    task::spawn(contact_seeds(router.clone()));
     loop {
         tick(&router);
-        task::sleep(TICK).await;
+        task::sleep(TICK_INTERVAL).await;
     }
 }
 
 fn tick(router: &Arc<Router>) {
-    let own = own(router);
+    let local_status = local_status(router);
     let mut members = lock(&router.members);
-    members.set_local_status(own);
+    members.set_local_status(local_status);
     members.tick(router.now());
     drop(members);
     router.follow_members();
 }
 
-fn own(router: &Router) -> LocalStatus {
-    let config = lock(&router.force).head.revision().map_or(0, |r| r.0);
+fn local_status(router: &Router) -> LocalStatus {
+    let config = lock(&router.current_config)
+        .head
+        .revision()
+        .map_or(0, |r| r.0);
     let list = lock(&router.listing).listed.revision;
     let load = lock(&router.dispatch).running() as u32;
     LocalStatus {
@@ -74,7 +77,7 @@
 }
 
 impl Router {
-    /// Sends what the members want sent, and passes on what changed.
+    /// Carries out the events of the membership: sends heartbeats and applies changes.
     pub(crate) fn follow_members(&self) {
         let events = lock(&self.members).take_events();
         for event in events {
@@ -85,15 +88,15 @@
                     heartbeat,
                 } => {
                     let zone = lock(&self.members).get(&to).map(|m| m.zone.clone());
-                    let delay = zone.map_or(Duration::ZERO, |z| self.way(&z));
+                    let delay = zone.map_or(Duration::ZERO, |z| self.link_delay(&z));
                     self.links.route(&to, addr, delay);
-                    self.links.send(&to, Item::Beat(*heartbeat));
+                    self.links.send(&to, PeerMessage::Heartbeat(*heartbeat));
                 }
-                Event::Changed => self.members_changed(),
+                Event::Changed => self.update_members(),
                 Event::Replaced(incarnation) => {
                     log::error!(
-                        "router: a later start ({incarnation}) of {} is about; \
-                         this one hands back its work, give each router its own name",
+                        "router: a later incarnation ({incarnation}) of {} is running; \
+                         this one shuts down, give each router its own name",
                         self.me.router
                     );
                     self.leave();
@@ -102,33 +105,34 @@
         }
     }
 
-    /// Time that each frame to a zone is held back. It is zero outside measurements.
-    fn way(&self, zone: &Zone) -> Duration {
+    /// Returns the artificial delay of frames to a zone, which is zero outside measurements.
+    fn link_delay(&self, zone: &Zone) -> Duration {
         match *zone == self.settings.zone {
             true => Duration::ZERO,
             false => self.settings.zone_delay,
         }
     }
 
-    pub(crate) fn members_changed(&self) {
-        // Two changes that are followed at once must reach the dispatch in their order: it
-        // would otherwise go on asking a dead owner for slots until the next change.
+    pub(crate) fn update_members(&self) {
+        // The lock is held so that concurrent changes reach the dispatch in their order.
+        // Otherwise it could go on asking a dead owner for slots until the next change.
         let members = lock(&self.members);
         let mut view = members.view();
         view.retain(|m| m.id != self.me.router);
         log::info!("router: {} other routers are up", view.len());
-        self.keep_links(&view);
+        self.update_links(&view);
         let others: Vec<Peer> = view.iter().map(peer).collect();
         self.dispatch(|d, now| d.set_routers(others, now));
     }
 
-    /// Keeps a way to each router that is up, and to no other.
+    /// Keeps a link to each router that is up, and to no other.
     ///
-    /// In a large fleet most routers are beaten seldom. One without a way to the owner of
-    /// a pool would have its reports thrown away, and run with its static fraction.
-    fn keep_links(&self, up: &[Member]) {
+    /// A large fleet sends heartbeats to most routers rarely, so the links can't wait for the
+    /// first heartbeat. A router without a link to the owner of a pool would drop its reports
+    /// and run with its static fraction.
+    fn update_links(&self, up: &[Member]) {
         for m in up {
-            self.links.route(&m.id, m.addr, self.way(&m.zone));
+            self.links.route(&m.id, m.addr, self.link_delay(&m.zone));
         }
         self.links.retain(|id| up.iter().any(|m| m.id == *id));
     }
@@ -148,29 +152,29 @@
     }
 }
 
-/// Greets the addresses that the settings name until another router is known.
+/// Sends hellos to the seed addresses, less often once other routers are known.
 ///
-/// A router that restarts empty while the platform is down has no list. It would show as
-/// a router that never becomes ready; the addresses in its settings lead it to its peers.
-async fn greet(router: Arc<Router>) {
+/// A router that restarts without state while the platform is down has no list, and would
+/// never become ready. It finds its peers by the seed addresses of its settings.
+async fn contact_seeds(router: Arc<Router>) {
     if router.settings.seeds.is_empty() {
         return;
     }
-    let me = Known {
+    let me = KnownRouter {
         id: router.me.router.clone(),
         intro: intro(&router),
     };
     loop {
         for addr in &router.settings.seeds {
             let question = Question::Hello(me.clone());
-            let asked = router.links.ask(*addr, &question, HELLO).await;
-            if let Ok(Answer::Hello(known)) = asked {
-                router.meet(known);
+            let reply = router.links.ask(*addr, &question, HELLO_TIMEOUT).await;
+            if let Ok(Answer::Hello(known)) = reply {
+                router.add_routers(known);
             }
         }
         let pause = match lock(&router.members).view().len() {
-            0 | 1 => SEEDING,
-            _ => SEEDING * 20,
+            0 | 1 => SEED_INTERVAL,
+            _ => SEED_INTERVAL * 20,
         };
         task::sleep(pause).await;
     }
@@ -186,8 +190,8 @@
 }
 
 impl Router {
-    /// Takes over routers that another one named.
-    pub(crate) fn meet(&self, known: Vec<Known>) {
+    /// Adds routers that a peer reported.
+    pub(crate) fn add_routers(&self, known: Vec<KnownRouter>) {
         let now = self.now();
         let mut members = lock(&self.members);
         for k in known {
@@ -199,10 +203,10 @@
         self.follow_members();
     }
 
-    /// Returns this router and those it knows to be up.
-    pub(crate) fn known(&self) -> Vec<Known> {
+    /// Returns this router and those that it considers up.
+    pub(crate) fn known(&self) -> Vec<KnownRouter> {
         let view = lock(&self.members).view();
-        let known = view.into_iter().map(|m| Known {
+        let known = view.into_iter().map(|m| KnownRouter {
             id: m.id,
             intro: Intro {
                 addr: m.addr,
--- a/src/router/inbox.rs
+++ b/src/router/inbox.rs
@@ -1,10 +1,10 @@
-//! What comes from other routers.
+//! Handlers for messages and queries of other routers.
 
 use {
     super::{
         messages::{
             Answer,
-            Item,
+            PeerMessage,
             Question, //
         },
         state::{
@@ -21,30 +21,30 @@
     std::sync::Arc, //
 };
 
-/// Makes what the peers' server calls.
-pub(crate) fn handler(router: &Arc<Router>) -> Handler<Item, Question, Answer> {
-    let taker = router.clone();
-    let answerer = router.clone();
+/// Returns the callbacks of the peers' server.
+pub(crate) fn handler(router: &Arc<Router>) -> Handler<PeerMessage, Question, Answer> {
+    let receiver = router.clone();
+    let responder = router.clone();
     Handler {
-        take: Box::new(move |m| take(&taker, m)),
-        answer: Box::new(move |from, q| answer(answerer.clone(), from, q)),
+        take: Box::new(move |m| receive(&receiver, m)),
+        answer: Box::new(move |from, q| answer(responder.clone(), from, q)),
     }
 }
 
-fn take(router: &Arc<Router>, m: Incoming<Item>) {
+fn receive(router: &Arc<Router>, m: Incoming<PeerMessage>) {
     for item in m.items {
         match item {
-            Item::Beat(beat) => {
-                router.config_head(&m.from, beat.config);
-                router.list_head(&m.from, beat.list);
+            PeerMessage::Heartbeat(heartbeat) => {
+                router.observe_peer_config(&m.from, heartbeat.config);
+                router.observe_peer_list(&m.from, heartbeat.list);
                 let now = router.now();
-                lock(&router.members).receive_heartbeat(beat, now);
+                lock(&router.members).receive_heartbeat(heartbeat, now);
                 router.follow_members();
             }
-            Item::Share(msg) => {
+            PeerMessage::Dispatch(msg) => {
                 router.dispatch(|d, now| d.deliver(&m.from, m.incarnation, msg, now));
             }
-            Item::Withdrawn(replica) => router.withdraw(&replica),
+            PeerMessage::Withdrawn(replica) => router.withdraw(&replica),
         }
     }
 }
@@ -53,16 +53,16 @@
     Box::pin(async move {
         match q {
             Question::Hello(k) => {
-                log::debug!("router: {from} greets");
-                router.meet(vec![k]);
+                log::debug!("router: hello from {from}");
+                router.add_routers(vec![k]);
                 Answer::Hello(router.known())
             }
-            Question::Ticket(ask) => {
+            Question::Ticket(request) => {
                 let now = router.now();
-                Answer::Ticket(lock(&router.tickets).answer_transfer(&ask, now))
+                Answer::Ticket(lock(&router.tickets).answer_transfer(&request, now))
             }
-            Question::Config(have) => Answer::Config(router.config_above(have).map(Box::new)),
-            Question::List(have) => Answer::List(router.list_beyond(have).map(Box::new)),
+            Question::Config(have) => Answer::Config(router.config_delta_since(have).map(Box::new)),
+            Question::List(have) => Answer::List(router.list_changes_since(have).map(Box::new)),
         }
     })
 }
--- a/src/router/jobs.rs
+++ b/src/router/jobs.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a decision.
+//! Requests that wait for a decision of the dispatch.
 
 use {
     async_std::channel::{
@@ -15,29 +15,24 @@
     slotmap::SecondaryMap,
 };
 
-/// What was decided about a request.
+/// A decision of the dispatch about a request.
 #[derive(Debug)]
-pub(crate) enum Verdict {
+pub(crate) enum JobDecision {
     /// It may run on this replica now.
     Start(ReplicaId),
-    /// It is refused; it did not run.
-    Refuse {
-        /// Why.
-        why: Refusal,
-        /// When to come back.
-        after: Span,
-    },
+    /// It is rejected and did not run.
+    Reject { reason: Refusal, retry_after: Span },
 }
 
-/// Who waits for a decision about which request.
+/// The tasks that wait for decisions, by request.
 #[derive(Debug, Default)]
-pub(crate) struct Jobs {
-    waiting: SecondaryMap<JobId, Sender<Verdict>>,
+pub(crate) struct PendingJobs {
+    waiting: SecondaryMap<JobId, Sender<JobDecision>>,
 }
 
-impl Jobs {
-    /// Registers a request; its verdicts come over the channel.
-    pub(crate) fn add(&mut self, job: JobId) -> Receiver<Verdict> {
+impl PendingJobs {
+    /// Registers a request; its decisions arrive on the returned channel.
+    pub(crate) fn add(&mut self, job: JobId) -> Receiver<JobDecision> {
         let (tx, rx) = bounded(1);
         self.waiting.insert(job, tx);
         rx
@@ -47,16 +42,16 @@
         self.waiting.remove(job);
     }
 
-    /// Tells whether nobody waits.
+    /// Returns whether no task waits.
     #[cfg(test)]
     pub(crate) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Passes on a verdict; returns whether somebody waits for it.
-    pub(crate) fn tell(&self, job: JobId, verdict: Verdict) -> bool {
+    /// Sends a decision to its task; returns whether one waits for it.
+    pub(crate) fn send(&self, job: JobId, decision: JobDecision) -> bool {
         self.waiting
             .get(job)
-            .is_some_and(|tx| tx.try_send(verdict).is_ok())
+            .is_some_and(|tx| tx.try_send(decision).is_ok())
     }
 }
--- a/src/router/list.rs
+++ b/src/router/list.rs
@@ -1,11 +1,11 @@
-//! The platform's lagging list of instances, and what replicas say of themselves.
+//! The platform's list of instances, which lags, and leave reports of the replicas themselves.
 
 use {
     super::{
         changes::Changes,
         messages::{
             Answer,
-            Item,
+            PeerMessage,
             Question, //
         },
         state::{
@@ -48,29 +48,29 @@
 };
 
 /// How often a watcher of the list polls it.
-const POLL: Duration = Duration::from_secs(1);
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// How long a peer may take to answer.
-const ASK: Duration = Duration::from_secs(2);
-/// How long all who read the list may be behind this router before it takes their list.
-const ANEW: Span = Span::secs(3);
-/// How long a replica's own word that it leaves stands against a list that lags.
-const WITHDRAWN: Span = Span::secs(30);
-/// How long before that ends the others are told again.
-const WITHDRAWN_AGAIN: Span = Span::secs(20);
+const LIST_TIMEOUT: Duration = Duration::from_secs(2);
+/// How long all readers of the list may be behind this router before it adopts their list.
+const RENUMBER_DELAY: Span = Span::secs(3);
+/// How long a replica's report that it is leaving overrides the list, which lags.
+const WITHDRAWN_TTL: Span = Span::secs(30);
+/// Remaining time below which a repeated report is sent to the peers again.
+const WITHDRAWN_RESEND: Span = Span::secs(20);
 
-/// When a list replaces the one at hand.
+/// When a list replaces the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Taken {
+pub(super) enum ListPolicy {
     Always,
-    IfLater,
+    IfNewer,
 }
 
-/// A fetch under way. Its end, also by a panic, lets the next one begin.
-struct Fetching(Arc<Router>);
+/// Marks a fetch in progress; dropping it, also in a panic, allows the next one.
+struct FetchGuard(Arc<Router>);
 
-impl Drop for Fetching {
+impl Drop for FetchGuard {
     fn drop(&mut self) {
-        self.0.fetching.store(false, Ordering::Release);
+        self.0.fetching_list.store(false, Ordering::Release);
     }
 }
 
@@ -82,66 +82,75 @@
             let polled = instances.poll().await;
             router.no_platform.store(polled.is_err(), Ordering::Relaxed);
             match polled {
-                // A platform that was restarted lists nothing until the instances have come
-                // back. It would show as requests that find no endpoint, all of them. The
-                // routers themselves are listed, so that an empty list can't be true.
+                // A restarted platform lists nothing until the instances have registered again,
+                // and with its list no request would find an endpoint. An empty list can't be
+                // right, since the routers are in it.
                 Ok(Some(listed)) if listed.instances.is_empty() => {
-                    log::warn!("platform: its list is empty; the last one stays");
+                    log::warn!(
+                        "platform: the list of instances is empty; the previous one is kept"
+                    );
                 }
-                Ok(Some(listed)) => router.take_list(listed, Taken::Always),
+                Ok(Some(listed)) => router.accept_list(listed, ListPolicy::Always),
                 Ok(None) => {}
-                Err(e) => log::debug!("platform: the list can't be read: {e}"),
+                Err(e) => log::debug!("platform: can't read the list of instances: {e}"),
             }
         }
-        router.believe_list_again();
-        task::sleep(POLL).await;
+        router.expire_withdrawals();
+        task::sleep(POLL_INTERVAL).await;
     }
 }
 
 impl Router {
-    /// Tells whether this router is one of those that watch a key on the platform.
+    /// Returns whether this router is one of the watchers of a key on the platform.
     pub(crate) fn watches(&self, key: &str) -> bool {
         let view = lock(&self.members).view();
         watchers(&view, key, WATCHER_COUNT).contains(&self.me.router)
     }
 
-    /// Learns from a heartbeat which list a peer has.
-    pub(crate) fn list_head(self: &Arc<Router>, from: &RouterId, revision: u64) {
+    /// Records the list revision of a peer's heartbeat, and fetches its list if needed.
+    pub(crate) fn observe_peer_list(self: &Arc<Router>, from: &RouterId, revision: u64) {
         let listing = lock(&self.listing);
-        let (ours, above) = (listing.listed.revision, listing.above);
+        let (ours, behind_since) = (listing.listed.revision, listing.behind_since);
         drop(listing);
-        if revision == ours && above.is_none() {
+        if revision == ours && behind_since.is_none() {
             return;
         }
-        // A watcher that restarts empty while the platform is down has no list but its
-        // peers'. It would show as a router that knows of no endpoint.
-        let reads = self.watches("list") && !self.no_platform.load(Ordering::Relaxed);
-        let anew = self.numbered_anew(from, ours);
-        if reads || revision == ours || (revision < ours && !anew) {
+        // A watcher that can't reach the platform takes its peers' list too. Otherwise one that
+        // restarts without state while the platform is down would know no endpoint.
+        let reads_platform = self.watches("list") && !self.no_platform.load(Ordering::Relaxed);
+        let renumbered = self.is_renumbered(from, ours);
+        if reads_platform || revision == ours || (revision < ours && !renumbered) {
             return;
         }
         let Some(addr) = self.links.addr(from) else {
             return;
         };
-        // One question at a time: a heartbeat comes four times a second from each peer.
-        if self.fetching.swap(true, Ordering::AcqRel) {
+        // One fetch at a time: each peer sends a heartbeat four times a second.
+        if self.fetching_list.swap(true, Ordering::AcqRel) {
             return;
         }
-        let fetching = Fetching(self.clone());
+        let guard = FetchGuard(self.clone());
         task::spawn(async move {
-            let router = &fetching.0;
+            let router = &guard.0;
             if let Some(listed) = router.fetch_list(addr, ours).await {
-                let taken = if anew { Taken::Always } else { Taken::IfLater };
-                router.take_list(listed, taken);
+                let policy = if renumbered {
+                    ListPolicy::Always
+                } else {
+                    ListPolicy::IfNewer
+                };
+                router.accept_list(listed, policy);
             }
         });
     }
 
-    /// Asks a peer for its list: for what changed, or for all where that does not fit.
+    /// Fetches a peer's list: as changes, or complete if those do not apply.
     async fn fetch_list(&self, addr: SocketAddr, ours: u64) -> Option<Listed> {
         for have in [ours, 0] {
-            let asked = self.links.ask(addr, &Question::List(have), ASK).await;
-            let Ok(Answer::List(Some(changes))) = asked else {
+            let reply = self
+                .links
+                .ask(addr, &Question::List(have), LIST_TIMEOUT)
+                .await;
+            let Ok(Answer::List(Some(changes))) = reply else {
                 return None;
             };
             let known = lock(&self.listing).listed.clone();
@@ -152,64 +161,66 @@
         None
     }
 
-    /// Tells whether `from` reads a list that the platform has begun to number anew.
+    /// Returns whether `from` reads a list whose numbering the platform has restarted.
     ///
-    /// Its revisions are then below those that this router has, and would never be taken: an
-    /// endpoint that leaves goes on getting work from most routers. A reader that is only
-    /// behind has caught up after a poll or two.
-    fn numbered_anew(&self, from: &RouterId, ours: u64) -> bool {
+    /// Its revisions are then below that of this router and would never be accepted, so that
+    /// an endpoint that leaves would go on getting requests from most routers. A reader that
+    /// only lags catches up within a poll or two.
+    fn is_renumbered(&self, from: &RouterId, ours: u64) -> bool {
         let view = lock(&self.members).view();
         let ids = watchers(&view, "list", WATCHER_COUNT);
-        let reads = |m: &&Member| ids.contains(&m.id) && m.id != self.me.router && !m.no_platform;
-        let readers: Vec<&Member> = view.iter().filter(reads).collect();
-        let above = readers.iter().all(|m| m.list > 0 && m.list < ours);
+        let reads_platform =
+            |m: &&Member| ids.contains(&m.id) && m.id != self.me.router && !m.no_platform;
+        let readers: Vec<&Member> = view.iter().filter(reads_platform).collect();
+        let all_behind = readers.iter().all(|m| m.list > 0 && m.list < ours);
         let now = self.now();
         let mut listing = lock(&self.listing);
-        if readers.is_empty() || !above {
-            listing.above = None;
+        if readers.is_empty() || !all_behind {
+            listing.behind_since = None;
             return false;
         }
-        let since = *listing.above.get_or_insert(now);
-        now.since(since) > ANEW && readers.iter().any(|m| m.id == *from)
+        let since = *listing.behind_since.get_or_insert(now);
+        now.since(since) > RENUMBER_DELAY && readers.iter().any(|m| m.id == *from)
     }
 
-    /// Returns what a peer lacks of the list, if it has another.
-    pub(crate) fn list_beyond(&self, have: u64) -> Option<Changes> {
+    /// Returns the changes to the list since the peer's revision, if that is not the current one.
+    pub(crate) fn list_changes_since(&self, have: u64) -> Option<Changes> {
         let listing = lock(&self.listing);
         let other = listing.listed.revision != have;
-        other.then(|| listing.log.since(have, &listing.listed))
+        other.then(|| listing.changes.since(have, &listing.listed))
     }
 
-    /// Takes a list: the platform's always, a peer's if it is later than the one at hand,
-    /// or numbered anew.
+    /// Accepts a list: the platform's always, a peer's if it is newer than the current one or
+    /// has a restarted numbering.
     ///
-    /// The answer of a peer can be overtaken by the platform's own. The older list would
-    /// stay, as the next poll finds nothing new, and show as work for an endpoint that left.
-    pub(super) fn take_list(&self, listed: Listed, taken: Taken) {
+    /// The answer of a peer can arrive after a newer list of the platform. The older list
+    /// would stay, as the next poll finds nothing new, and requests would go to an endpoint
+    /// that left.
+    pub(super) fn accept_list(&self, listed: Listed, policy: ListPolicy) {
         let routers = listed.instances.iter().filter_map(router_of).collect();
         let now = self.now();
         let listed = Arc::new(listed);
         let mut listing = lock(&self.listing);
         let old = listing.listed.clone();
-        if taken == Taken::IfLater && listed.revision <= old.revision {
+        if policy == ListPolicy::IfNewer && listed.revision <= old.revision {
             return;
         }
-        listing.log.record(&old, &listed);
+        listing.changes.record(&old, &listed);
         listing.listed = listed;
-        listing.above = None;
+        listing.behind_since = None;
         drop(listing);
         lock(&self.members).update_list(routers, now);
         self.follow_members();
-        // A first list that names nobody else changes no member, but the dispatch waits to
-        // hear just that.
+        // A first list without other routers changes no member, but the dispatch waits for
+        // exactly that information.
         if old.revision == 0 {
-            self.members_changed();
+            self.update_members();
         }
-        self.apply_list();
+        self.update_replicas();
     }
 
-    /// Tells the dispatch which replicas there are.
-    pub(crate) fn apply_list(&self) {
+    /// Passes the listed replicas to the dispatch.
+    pub(crate) fn update_replicas(&self) {
         let now = self.now();
         let fleet = self.fleet();
         let mut listing = lock(&self.listing);
@@ -233,39 +244,40 @@
         });
     }
 
-    /// Gives work again to replicas whose own word that they leave has become old.
-    fn believe_list_again(&self) {
+    /// Makes replicas available again whose report that they are leaving has expired.
+    fn expire_withdrawals(&self) {
         let now = self.now();
         let listing = lock(&self.listing);
         let old = listing.withdrawn.values().any(|until| *until <= now);
         drop(listing);
         if old {
-            self.apply_list();
+            self.update_replicas();
         }
     }
 
-    /// Gives no more work to a replica that said it is leaving, and tells the others.
+    /// Withdraws a replica that reported it is leaving, and informs the peers.
     ///
-    /// The list lags, so a leaving endpoint would show as refusals for seconds. What it
-    /// says itself is believed at once, for a while, until the list has caught up. While
-    /// it goes on saying so, the others are told again before they stop believing it.
-    pub(crate) fn noticed_leaving(&self, replica: &ReplicaId) {
+    /// The list lags, so a leaving endpoint would reject requests for seconds. Its own report
+    /// therefore takes effect at once, for a limited time in which the list catches up. If it
+    /// reports again, the peers are informed again before the report expires there.
+    pub(crate) fn report_leaving(&self, replica: &ReplicaId) {
         let now = self.now();
         let until = lock(&self.listing).withdrawn.get(replica).copied();
-        if until.is_some_and(|until| until.since(now) > WITHDRAWN_AGAIN) {
+        if until.is_some_and(|until| until.since(now) > WITHDRAWN_RESEND) {
             return;
         }
-        log::info!("endpoints: {replica} says that it is leaving");
+        log::info!("endpoints: {replica} reports that it is leaving");
         self.withdraw(replica);
         let view = lock(&self.members).view();
         for m in view.iter().filter(|m| m.id != self.me.router) {
-            self.links.send(&m.id, Item::Withdrawn(replica.clone()));
+            self.links
+                .send(&m.id, PeerMessage::Withdrawn(replica.clone()));
         }
     }
 
-    /// Gives no more work to a replica.
+    /// Sends no more requests to a replica.
     pub(crate) fn withdraw(&self, replica: &ReplicaId) {
-        let until = self.now() + WITHDRAWN;
+        let until = self.now() + WITHDRAWN_TTL;
         lock(&self.listing).withdrawn.insert(replica.clone(), until);
         self.dispatch(|d, now| d.withdraw(replica, now));
     }
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -1,4 +1,4 @@
-//! What routers say to each other.
+//! Messages between routers.
 
 use {
     super::{
@@ -25,46 +25,48 @@
     },
 };
 
-/// A message that needs no answer. It may be lost, doubled or late.
+/// A message that needs no answer. It may be lost, duplicated or delayed.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) enum Item {
-    /// A sign of life.
-    Beat(Heartbeat),
-    /// About shares and capacity.
-    Share(Message),
-    /// A replica said that it is leaving.
+pub(crate) enum PeerMessage {
+    /// Liveness, and what the sender knows of the other routers.
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
+    /// Shares and capacity, for the dispatch.
+    #[serde(rename = "Share")]
+    Dispatch(Message),
+    /// A replica reported that it is leaving.
     Withdrawn(ReplicaId),
 }
 
 /// A question that needs an answer.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Question {
-    /// Who is there? Asked of an address that the settings name.
-    Hello(Known),
-    /// May I start the request of this ticket?
+    /// Which routers are known? Sent to the seed addresses of the settings.
+    Hello(KnownRouter),
+    /// Transfer of a ticket to the sender, which wants to start its request.
     Ticket(TransferRequest),
-    /// The configuration, if it is above this revision.
+    /// The configuration, if it is newer than this revision.
     Config(Revision),
-    /// The list of instances, if it is another than this revision.
+    /// The list of instances, if its revision is not this one.
     List(u64),
 }
 
 /// The answer to a [`Question`].
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum Answer {
-    /// The routers that the one asked knows, itself among them.
-    Hello(Vec<Known>),
-    /// What came of the ticket.
+    /// The routers known to the receiver, itself included.
+    Hello(Vec<KnownRouter>),
+    /// Outcome of the transfer.
     Ticket(TransferReply),
-    /// The configuration.
+    /// The configuration, as a delta; none if it is not newer.
     Config(Option<Box<Delta>>),
-    /// The list of instances.
+    /// The list of instances, as changes; none if the sender has it.
     List(Option<Box<Changes>>),
 }
 
-/// A router and where it is.
+/// A router and its addresses.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Known {
+pub(crate) struct KnownRouter {
     pub(crate) id: RouterId,
     pub(crate) intro: Intro,
 }
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,33 +1,33 @@
-//! One router: its tables, workers and their wiring.
+//! One router: its state, its background tasks and how they are connected.
 //!
-//! The tables are [`state::Router`]; everything that happens to a router is a step of one of
-//! the pure tables of `policy` under its lock, followed by what the step decided. The tasks
-//! here only carry bytes to and from these steps.
+//! The state is [`state::Router`]. Every event is a step of one of the pure state machines of
+//! `policy`, taken under its lock, followed by the actions that the step decided on. The tasks
+//! here only do the I/O for these steps.
 
 mod addresses;
-mod beat;
+mod admitted;
 mod changes;
 mod claims;
 mod clock;
+mod completion;
 mod config;
+mod counters;
 mod delta;
+mod heartbeats;
 mod inbox;
 mod jobs;
 mod list;
 mod loads;
 mod messages;
-mod passing;
+mod progress;
 mod report;
 mod requests;
 mod rules;
-mod running;
+mod run_times;
 mod shutdown;
 mod start;
 mod state;
-mod tally;
-mod times;
-mod told;
-mod work;
+mod streaming;
 
 pub(crate) use self::{
     changes::ChangeLog,
--- a/src/router/report.rs
+++ b/src/router/report.rs
@@ -1,4 +1,4 @@
-//! What a router tells operators: status, profiles and the dump of its state.
+//! Reports to operators: status, profiles and the dump of the state.
 
 use {
     super::state::{
@@ -66,8 +66,10 @@
     addr: SocketAddr,
     state: String,
     leaving: bool,
-    heard: bool,
-    hears: bool,
+    #[serde(rename = "heard")]
+    inbound_ok: bool,
+    #[serde(rename = "hears")]
+    outbound_ok: bool,
     config: u64,
     list: u64,
     load: u32,
@@ -89,7 +91,7 @@
     received: u64,
 }
 
-/// Makes what the operators' server answers from.
+/// Returns the callbacks of the operators' server.
 pub(crate) fn views(router: &Arc<Router>) -> Views {
     let [status, revision, members, profiles, config, dump, ready] =
         std::array::from_fn(|_| router.clone());
@@ -98,7 +100,7 @@
         revision: Box::new(move || revision.in_force()),
         members: Box::new(move || members.member_views()),
         profiles: Box::new(move || profiles.profiles()),
-        config: Box::new(move || lock(&config.force).config.clone()),
+        config: Box::new(move || lock(&config.current_config).config.clone()),
         dump: Box::new(move || serde_json::to_value(dump.dump()).unwrap_or_default()),
         ready: Box::new(move || ready.state() == State::Ready),
     }
@@ -108,7 +110,7 @@
     fn state(&self) -> State {
         if self.is_leaving() {
             State::Leaving
-        } else if lock(&self.force).head.ready() {
+        } else if lock(&self.current_config).head.ready() {
             State::Ready
         } else {
             State::Starting
@@ -116,9 +118,9 @@
     }
 
     fn profiles(&self) -> Profiles {
-        let force = lock(&self.force);
-        let revision = force.head.revision().map_or(0, |r| r.0);
-        Profiles::new(revision, &force.fleet)
+        let current = lock(&self.current_config);
+        let revision = current.head.revision().map_or(0, |r| r.0);
+        Profiles::new(revision, &current.fleet)
     }
 
     pub(crate) fn status(&self) -> Status {
@@ -144,8 +146,8 @@
     }
 
     fn revision(&self) -> (u64, String) {
-        let force = lock(&self.force);
-        match &force.config {
+        let current = lock(&self.current_config);
+        match &current.config {
             Some(c) => (c.revision.0, c.writer.clone()),
             None => (0, String::new()),
         }
@@ -181,16 +183,14 @@
 
     fn workspaces(&self, dump: &DispatchDump) -> Vec<WorkspaceStatus> {
         let fleet = self.fleet();
-        let tally = lock(&self.tally);
-        tally
+        let counters = lock(&self.counters);
+        counters
             .iter()
-            .map(|(account, counts)| WorkspaceStatus {
-                name: account.workspace.clone(),
-                service: account.service.clone(),
-                share: fleet
-                    .share(account.workspace.as_str())
-                    .unwrap_or(Share::ONE),
-                queued: queued(dump, account),
+            .map(|(key, counts)| WorkspaceStatus {
+                name: key.workspace.clone(),
+                service: key.service.clone(),
+                share: fleet.share(key.workspace.as_str()).unwrap_or(Share::ONE),
+                queued: queued(dump, key),
                 running: 0,
                 answered: counts.answered,
                 refused: counts.refused,
@@ -230,29 +230,29 @@
     }
 }
 
-fn queued(dump: &DispatchDump, account: &super::tally::Account) -> u32 {
-    let service = dump.services.iter().find(|s| s.service == account.service);
-    let queue = service.and_then(|s| s.queues.iter().find(|q| q.workspace == account.workspace));
+fn queued(dump: &DispatchDump, key: &super::counters::CounterKey) -> u32 {
+    let service = dump.services.iter().find(|s| s.service == key.service);
+    let queue = service.and_then(|s| s.queues.iter().find(|q| q.workspace == key.workspace));
     queue.map_or(0, |q| q.queued as u32)
 }
 
 fn service(s: &ServiceDump) -> ServiceStatus {
-    let taking = s.replicas.iter().filter(|r| !r.leaving);
+    let accepting = s.replicas.iter().filter(|r| !r.leaving);
     let sum = |of: fn(&policy::ReplicaDump) -> Slots| s.replicas.iter().map(|r| of(r).0).sum();
-    let least = s
+    let lowest = s
         .queues
         .iter()
         .map(|q| q.service.0)
         .fold(f64::INFINITY, f64::min);
-    let most = s.queues.iter().map(|q| q.service.0).fold(0.0, f64::max);
+    let highest = s.queues.iter().map(|q| q.service.0).fold(0.0, f64::max);
     ServiceStatus {
         name: s.service.clone(),
-        replicas: taking.count() as u32,
+        replicas: accepting.count() as u32,
         limit: s.replicas.iter().filter_map(|r| r.limit).map(|l| l.0).sum(),
         lent: sum(|r| r.allowed),
         running: sum(|r| r.running),
         queued: s.queues.iter().map(|q| q.queued as u32).sum(),
-        gap: Units((most - least).max(0.0)),
+        gap: Units((highest - lowest).max(0.0)),
     }
 }
 
@@ -276,8 +276,8 @@
         addr: m.addr,
         state: m.state.to_string(),
         leaving: m.leaving,
-        heard: m.inbound_ok,
-        hears: m.outbound_ok,
+        inbound_ok: m.inbound_ok,
+        outbound_ok: m.outbound_ok,
         config: m.config,
         list: m.list,
         load: m.load,
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -1,13 +1,13 @@
-//! A caller's request, from its arrival to its answer.
+//! Requests of callers, from arrival to answer.
 
 use {
     super::{
-        running::Running,
+        admitted::AdmittedRequest, //
+        progress::RequestProgress,
         state::{
             lock,
             Router, //
         },
-        work::Work, //
     },
     callers::{
         Ask,
@@ -38,37 +38,44 @@
     },
 };
 
-/// When to come back to a router that has no configuration yet.
-const READY_AGAIN: Duration = Duration::from_millis(500);
+/// Retry delay for callers while the router has no configuration.
+const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Answers a caller.
+/// Handles a request of a caller and returns the response.
 pub(crate) async fn handle(router: Arc<Router>, ask: Ask) -> Response {
     match ask {
-        Ask::Where { query, .. } => router.where_to(&query),
+        Ask::Where { query, .. } => router.address_response(&query),
         Ask::Request { request, gone } => {
             let response = match admit(&router, *request) {
-                Ok(work) => serve(router, work, gone).await,
+                Ok(admitted) => serve(router, admitted, gone).await,
                 Err(refused) => refused.into(),
             };
-            metrics::counter!("chervilwind_callers_answers", "status" => response.status.to_string())
-                .increment(1);
+            metrics::counter!(
+                "chervilwind_callers_answers",
+                "status" => response.status.to_string()
+            )
+            .increment(1);
             response
         }
     }
 }
 
-async fn serve(router: Arc<Router>, work: Work, gone: Gone) -> Response {
-    if work.idempotent {
-        return Running::new(router, work, None).run(gone).await;
+async fn serve(router: Arc<Router>, admitted: AdmittedRequest, gone: Gone) -> Response {
+    if admitted.idempotent {
+        return RequestProgress::new(router, admitted, None).run(gone).await;
     }
-    match router.claim(&work).await {
-        Ok(grant) => Running::new(router, work, Some(grant)).run(gone).await,
+    match router.claim(&admitted).await {
+        Ok(grant) => {
+            RequestProgress::new(router, admitted, Some(grant))
+                .run(gone)
+                .await
+        }
         Err(response) => *response,
     }
 }
 
 /// Checks a request against the configuration in force.
-fn admit(router: &Router, r: Request) -> Result<Work, Refused> {
+fn admit(router: &Router, r: Request) -> Result<AdmittedRequest, Refused> {
     if router.is_leaving() {
         return Err(Refused::new(
             Why::Leaving,
@@ -77,24 +84,28 @@
         .retry_after(Duration::ZERO));
     }
     let fleet = router.ready()?;
-    let service = fleet.service(r.service.as_str()).map_err(unknown)?;
-    let profile = fleet.profile(r.profile.as_str()).map_err(unknown)?;
-    let workspace = fleet.workspace(r.workspace.as_str()).map_err(unknown)?;
-    let left = r.deadline.unwrap_or(Duration::from(profile.deadline));
+    let service = fleet.service(r.service.as_str()).map_err(unknown_name)?;
+    let profile = fleet.profile(r.profile.as_str()).map_err(unknown_name)?;
+    let workspace = fleet
+        .workspace(r.workspace.as_str())
+        .map_err(unknown_name)?;
+    let time_left = r.deadline.unwrap_or(Duration::from(profile.deadline));
     let now = router.now();
-    let expect = lock(&router.times).expect(&r.service, &r.profile, now);
+    let expected_run = lock(&router.run_times).estimate(&r.service, &r.profile, now);
     let job = Job {
         service: r.service.clone(),
         workspace: r.workspace.clone(),
         arrived: now,
-        deadline: now + Span::from(left),
+        deadline: now + Span::from(time_left),
         urgency: profile.urgency,
         hint: service.hint(profile),
         share: profile.share,
-        expected_run: expect,
+        expected_run,
         prefix: None,
     };
-    Ok(work(r, job, service, profile, workspace, left))
+    Ok(admitted_request(
+        r, job, service, profile, workspace, time_left,
+    ))
 }
 
 impl Router {
@@ -102,29 +113,29 @@
     ///
     /// # Errors
     ///
-    /// The refusal where there is none yet.
+    /// The rejection, if there is none yet.
     pub(crate) fn ready(&self) -> Result<Arc<Fleet>, Refused> {
-        let force = lock(&self.force);
-        if force.head.ready() {
-            return Ok(force.fleet.clone());
+        let current = lock(&self.current_config);
+        if current.head.ready() {
+            return Ok(current.fleet.clone());
         }
         Err(Refused::new(
             Why::NotReady,
             "this router has no configuration yet; ask another which address to use",
         )
-        .retry_after(READY_AGAIN))
+        .retry_after(NOT_READY_RETRY_AFTER))
     }
 }
 
-fn work(
+fn admitted_request(
     r: Request,
     job: Job,
     service: &Service,
     profile: &Profile,
     _workspace: &Workspace,
-    left: Duration,
-) -> Work {
-    Work {
+    time_left: Duration,
+) -> AdmittedRequest {
+    AdmittedRequest {
         job,
         profile: r.profile,
         streamed: service.kind == Kind::Model,
@@ -137,11 +148,11 @@
         target: r.target,
         headers: r.headers,
         body: Arc::from(r.body),
-        deadline: Instant::now() + left,
+        deadline: Instant::now() + time_left,
     }
 }
 
-fn unknown(e: UnknownName) -> Refused {
+fn unknown_name(e: UnknownName) -> Refused {
     let why = match &e {
         UnknownName::Service(_) => Why::UnknownService,
         UnknownName::Profile(_) => Why::UnknownProfile,
--- a/src/router/rules.rs
+++ b/src/router/rules.rs
@@ -1,4 +1,4 @@
-//! What the configuration means for the dispatch.
+//! Conversion of the configuration into rules of the dispatch.
 
 use {
     operators::{
@@ -14,7 +14,7 @@
     std::sync::Arc,
 };
 
-/// Turns a checked document into the rules of the dispatch.
+/// Converts a validated document into the rules of the dispatch.
 pub(crate) fn rules(document: &Document) -> Rules {
     let shares: Vec<WorkspaceShare> = document
         .workspaces
--- a/src/router/times.rs
+++ b/src/router/run_times.rs
@@ -1,4 +1,4 @@
-//! How long requests run, as seen here.
+//! Estimates of how long requests run, from those at this router.
 
 use {
     policy::{
@@ -10,25 +10,25 @@
     std::collections::HashMap,
 };
 
-/// How long a mean is believed after the last request that it was taken from.
-const BELIEVED: Span = Span::secs(10);
+/// How long a mean is valid after its last sample.
+const MEAN_TTL: Span = Span::secs(10);
 /// Weight of the newest request in the running mean.
-const NEWEST: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 
 /// Running means of how long requests ran, by service and profile.
 #[derive(Debug, Default)]
-pub(crate) struct Times {
+pub(crate) struct RunTimes {
     mean: HashMap<(ServiceId, ProfileName), Mean>,
 }
 
 #[derive(Debug)]
 struct Mean {
     micros: f64,
-    noted: Time,
+    updated: Time,
 }
 
-impl Times {
-    pub(crate) fn note(
+impl RunTimes {
+    pub(crate) fn record(
         &mut self,
         service: &ServiceId,
         profile: &ProfileName,
@@ -39,24 +39,24 @@
         let ran = ran.0 as f64;
         let mean = self.mean.entry(key).or_insert(Mean {
             micros: ran,
-            noted: now,
+            updated: now,
         });
-        if now.since(mean.noted) > BELIEVED {
+        if now.since(mean.updated) > MEAN_TTL {
             mean.micros = ran;
         }
-        mean.micros += NEWEST * (ran - mean.micros);
-        mean.noted = now;
+        mean.micros += NEWEST_WEIGHT * (ran - mean.micros);
+        mean.updated = now;
     }
 
-    /// Returns the mean, or zero where nothing is known of late.
+    /// Returns the mean, or zero if there is no recent sample.
     ///
-    /// A request whose deadline is below the mean is refused as late. If none gets through,
-    /// no shorter run is ever seen, and the refusals would go on for ever after a few slow
-    /// minutes of the endpoints. So a mean that nothing renews is forgotten.
-    pub(crate) fn expect(&self, service: &ServiceId, profile: &ProfileName, now: Time) -> Span {
+    /// A request whose deadline is below the mean is rejected as late, and so gives no sample.
+    /// Means therefore expire: after a few slow minutes of the endpoints, the rejections would
+    /// otherwise go on forever.
+    pub(crate) fn estimate(&self, service: &ServiceId, profile: &ProfileName, now: Time) -> Span {
         let key = (service.clone(), profile.clone());
         let mean = self.mean.get(&key);
-        let known = mean.filter(|m| now.since(m.noted) <= BELIEVED);
+        let known = mean.filter(|m| now.since(m.updated) <= MEAN_TTL);
         known.map_or(Span::ZERO, |m| Span(m.micros as u64))
     }
 }
--- a/src/router/shutdown.rs
+++ b/src/router/shutdown.rs
@@ -1,8 +1,8 @@
-//! The end of a router: SIGTERM, or a later start under its name.
+//! Graceful shutdown: on SIGTERM, or when a later incarnation has the router's name.
 
 use {
     super::{
-        addresses::KEEP_MS,
+        addresses::ADDRESS_TTL_MS,
         state::{
             lock,
             Router, //
@@ -33,14 +33,14 @@
     },
 };
 
-/// How long callers may still come with an address they kept, before connections end.
-const LINGER: Duration = Duration::from_millis(KEEP_MS);
-/// How often it is looked whether callers still come.
-const LOOK: Duration = Duration::from_millis(50);
-/// How long the last messages may take to reach the peers.
-const GOODBYE: Duration = Duration::from_millis(300);
+/// How long callers may still use a cached address before connections are closed.
+const ADDRESS_GRACE: Duration = Duration::from_millis(ADDRESS_TTL_MS);
+/// How often open connections and running requests are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long the last messages have to reach the peers.
+const GOODBYE_DELAY: Duration = Duration::from_millis(300);
 
-/// Passes on the signals that end a router.
+/// Returns a channel that receives a message for each signal to shut down.
 pub(crate) fn receive_signals() -> io::Result<Receiver<()>> {
     let mut signals = Signals::new([SIGTERM, SIGINT])?;
     let (tx, rx) = bounded(1);
@@ -53,7 +53,7 @@
 }
 
 impl Router {
-    /// Leaves the address answers, and takes no new work from now on.
+    /// Removes this router from address answers and stops accepting requests.
     pub(crate) fn leave(&self) {
         if self.leaving.swap(true, Ordering::SeqCst) {
             return;
@@ -63,29 +63,29 @@
     }
 }
 
-/// Ends the router without cutting a request in flight.
+/// Shuts the router down without aborting a request in flight.
 ///
-/// Callers keep an address for a while, so the listener stays open that long and refuses
-/// what comes as not run. It would otherwise show as refused connections at callers that
-/// did nothing wrong. What runs is finished, however long it takes.
+/// Callers cache addresses, so the listener stays open for as long as they may, and rejects
+/// requests as not run. Otherwise callers that did nothing wrong would get refused
+/// connections. Running requests are finished, however long they take.
 pub(crate) async fn shut_down(router: &Arc<Router>, server: &Server) {
     router.leave();
     let mut waited = Duration::ZERO;
-    while waited < LINGER && server.connections() > 0 {
-        task::sleep(LOOK).await;
-        waited += LOOK;
+    while waited < ADDRESS_GRACE && server.connections() > 0 {
+        task::sleep(POLL_INTERVAL).await;
+        waited += POLL_INTERVAL;
     }
     server.stop().await;
     finish_running(router).await;
     lock(&router.members).goodbye();
     router.follow_members();
-    task::sleep(GOODBYE).await;
+    task::sleep(GOODBYE_DELAY).await;
     log::info!("router: {} has ended", router.me.router);
 }
 
-/// Waits for requests that go on without their caller, such as those with a ticket.
+/// Waits for requests that continue without their caller, such as those with a ticket.
 async fn finish_running(router: &Router) {
     while lock(&router.dispatch).running() > 0 {
-        task::sleep(LOOK).await;
+        task::sleep(POLL_INTERVAL).await;
     }
 }
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -1,29 +1,29 @@
-//! Starting a router and its tasks.
+//! Starts a router and its background tasks.
 
 use {
     super::{
-        beat,
         clock::{
             incarnation,
             Clock, //
         },
         config,
+        counters::RequestCounters,
         delta::History,
+        heartbeats,
         inbox,
-        jobs::Jobs,
+        jobs::PendingJobs,
         list,
         loads,
         report,
         requests,
+        run_times::RunTimes, //
         shutdown,
         state::{
             lock,
-            InForce,
+            CurrentConfig,
             Listing,
             Router, //
         },
-        tally::Tally,
-        times::Times, //
     },
     crate::{
         conf::{
@@ -78,49 +78,48 @@
     },
 };
 
-/// How often the dispatch is told the time.
-const TICK: Duration = Duration::from_millis(10);
-/// The same while nothing happens at this router.
-const CALM: Duration = Duration::from_millis(50);
-/// Pause before a task that panicked is started again.
-const AGAIN: Duration = Duration::from_millis(100);
-/// How often old tickets are dropped.
-const TICKET_TICK: Duration = Duration::from_secs(1);
+/// How often the dispatch is ticked while requests are handled.
+const BUSY_TICK: Duration = Duration::from_millis(10);
+/// How often the dispatch is ticked while the router is idle.
+const IDLE_TICK: Duration = Duration::from_millis(50);
+/// Delay before a task that panicked is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(100);
+/// How often expired tickets are removed.
+const TICKET_TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A router that runs in this process.
+/// A handle to a router that runs in this process.
 pub(crate) struct RouterHandle {
-    /// Its tables.
     pub(crate) router: Arc<Router>,
     server: Server,
 }
 
-/// Runs a router until it is told to end.
+/// Runs a router until it shuts down.
 pub(crate) fn run(mut settings: Settings) -> Result<(), Error> {
     let listeners = settings.bind()?;
     operators::start_metrics();
-    let ends = shutdown::receive_signals().map_err(|e| {
+    let signals = shutdown::receive_signals().map_err(|e| {
         Error::Failed(
-            format!("signals can't be taken: {e}"),
+            format!("can't register signal handlers: {e}"),
             "start it as an ordinary process".to_owned(),
         )
     })?;
     task::block_on(async {
         let started = start(settings, listeners);
-        wait_for_end(&started.router, ends).await;
+        wait_for_end(&started.router, signals).await;
         started.shut_down().await;
     });
     Ok(())
 }
 
-/// Waits for a signal, or until the router was told to leave by another cause.
-async fn wait_for_end(router: &Router, ends: Receiver<()>) {
+/// Waits for a signal, or until the router leaves for another reason.
+async fn wait_for_end(router: &Router, signals: Receiver<()>) {
     let left = async {
         while !router.is_leaving() {
             task::sleep(Duration::from_millis(100)).await;
         }
     };
     futures_lite::future::or(left, async {
-        let _ = ends.recv().await;
+        let _ = signals.recv().await;
     })
     .await;
 }
@@ -128,7 +127,7 @@
 /// Starts a router's tasks.
 pub(crate) fn start(settings: Settings, listeners: Listeners) -> RouterHandle {
     let limits = settings.limits.clone();
-    let router = Arc::new(make(settings));
+    let router = Arc::new(new_router(settings));
     let handler = router.clone();
     let server = Server::new(limits, move |ask| requests::handle(handler.clone(), ask));
     let callers = TcpListener::from(listeners.callers);
@@ -142,24 +141,24 @@
     let views = report::views(&router);
     task::spawn(async move {
         if let Err(e) = operators::serve(listeners.operators, views).await {
-            log::error!("router: the operators' address ended: {e}");
+            log::error!("router: the operators' server failed: {e}");
         }
     });
-    keep("beat::run", &router, beat::run);
-    keep("list::run", &router, list::run);
-    keep("loads::run", &router, loads::run);
-    keep("config::watch", &router, config::watch);
-    keep("config::tend", &router, config::tend);
-    keep("tick", &router, tick);
-    keep("tick_tickets", &router, tick_tickets);
+    supervise("beat::run", &router, heartbeats::run);
+    supervise("list::run", &router, list::run);
+    supervise("loads::run", &router, loads::run);
+    supervise("config::watch", &router, config::watch);
+    supervise("config::tend", &router, config::retry_fetches);
+    supervise("tick", &router, tick);
+    supervise("tick_tickets", &router, tick_tickets);
     log::info!("router: {} is up", router.me.router);
     RouterHandle { router, server }
 }
 
-/// Runs a task for as long as the process runs, again where it panicked.
+/// Spawns a task and restarts it after a panic.
 ///
-/// A router whose tick has died still beats and takes requests, and starts none of them.
-fn keep<T, F>(name: &'static str, of: &Arc<T>, task: fn(Arc<T>) -> F)
+/// Without its tick, a router would still send heartbeats and accept requests, but start none.
+fn supervise<T, F>(name: &'static str, of: &Arc<T>, task: fn(Arc<T>) -> F)
 where
     T: Send + Sync + 'static,
     F: Future<Output = ()> + Send + 'static,
@@ -171,20 +170,20 @@
             .await
             .is_err()
         {
-            log::error!("router: {name} panicked, it is started again; see the lines above");
-            task::sleep(AGAIN).await;
+            log::error!("router: {name} panicked and is restarted; see the lines above");
+            task::sleep(RESTART_DELAY).await;
         }
     });
 }
 
 impl RouterHandle {
-    /// Ends it without cutting a request in flight.
+    /// Shuts the router down without aborting a request in flight.
     pub(crate) async fn shut_down(&self) {
         shutdown::shut_down(&self.router, &self.server).await;
     }
 }
 
-fn make(settings: Settings) -> Router {
+fn new_router(settings: Settings) -> Router {
     let me = Holder {
         router: settings.name.clone(),
         incarnation: incarnation(),
@@ -206,7 +205,7 @@
     Router {
         links: Links::new(me.router.clone(), me.incarnation, Pace::default()),
         endpoints: endpoints::Client::new(endpoints::Options::default()),
-        force: Mutex::new(InForce {
+        current_config: Mutex::new(CurrentConfig {
             head: Head::new(clock.now()),
             config: None,
             history: History::default(),
@@ -223,13 +222,13 @@
         )),
         tickets: Mutex::new(Tickets::new(me.clone(), RetentionLimits::default())),
         dispatch: Mutex::new(Dispatch::new(peer, seed)),
-        jobs: Mutex::new(Jobs::default()),
-        budgets: Mutex::default(),
-        times: Mutex::new(Times::default()),
-        tally: Mutex::new(Tally::default()),
+        jobs: Mutex::new(PendingJobs::default()),
+        retry_budgets: Mutex::default(),
+        run_times: Mutex::new(RunTimes::default()),
+        counters: Mutex::new(RequestCounters::default()),
         leaving: AtomicBool::new(false),
-        stirred: AtomicBool::new(false),
-        fetching: AtomicBool::new(false),
+        dispatch_acted: AtomicBool::new(false),
+        fetching_list: AtomicBool::new(false),
         no_platform: AtomicBool::new(false),
         me,
         clock,
@@ -239,12 +238,17 @@
 
 async fn tick(router: Arc<Router>) {
     loop {
-        let busy = router.stirred.swap(false, Ordering::Relaxed);
+        let busy = router.dispatch_acted.swap(false, Ordering::Relaxed);
         router.dispatch(|d, now| d.tick(now));
-        // A tick alone stirs nothing, so an idle router soon wakes up seldom.
-        let acted = router.stirred.swap(false, Ordering::Relaxed);
+        // A tick without actions does not count, so an idle router changes to the slow tick.
+        let acted = router.dispatch_acted.swap(false, Ordering::Relaxed);
         let running = lock(&router.dispatch).running() > 0;
-        task::sleep(if busy || acted || running { TICK } else { CALM }).await;
+        task::sleep(if busy || acted || running {
+            BUSY_TICK
+        } else {
+            IDLE_TICK
+        })
+        .await;
     }
 }
 
@@ -252,7 +256,7 @@
     loop {
         let now = router.now();
         lock(&router.tickets).tick(now);
-        task::sleep(TICKET_TICK).await;
+        task::sleep(TICKET_TICK_INTERVAL).await;
     }
 }
 
--- a/src/router/start/tests.rs
+++ b/src/router/start/tests.rs
@@ -1,11 +1,11 @@
 use {
     super::{
-        keep,
-        make, //
+        new_router, //
+        supervise,
     },
     crate::{
         conf::Settings,
-        router::list::Taken, //
+        router::list::ListPolicy, //
     },
     async_std::channel::{
         unbounded,
@@ -27,39 +27,39 @@
     },
 };
 
-struct Clumsy {
+struct PanicsOnce {
     runs: AtomicU32,
     done: Sender<u32>,
 }
 
-async fn run(c: Arc<Clumsy>) {
+async fn run(c: Arc<PanicsOnce>) {
     let run = c.runs.fetch_add(1, Ordering::SeqCst);
     assert!(run > 0, "the first run panics");
     c.done.send(run).await.unwrap();
 }
 
 #[async_std::test]
-async fn keep_after_panic() {
-    // Every request of a router waits until its deadline, though endpoints are idle. The
-    // task that starts them had panicked, and the rest of the process went on.
+async fn supervise_after_panic() {
+    // Guards against requests waiting until their deadline while endpoints are idle, because
+    // the task that starts them panicked and the rest of the process went on.
     let (done, ended): (_, Receiver<u32>) = unbounded();
-    let clumsy = Arc::new(Clumsy {
+    let task_state = Arc::new(PanicsOnce {
         runs: AtomicU32::new(0),
         done,
     });
-    keep("run", &clumsy, run);
+    supervise("run", &task_state, run);
     assert_eq!(ended.recv().await, Ok(1));
 }
 
 #[async_std::test]
-async fn take_list_many_routers() {
-    // In a fleet of more than nine routers, one that was just started runs with a fixed
-    // part of the slots for minutes. Its reports to the owner were thrown away: a way to
-    // another router was made by the first heartbeat to it, and most are beaten seldom.
+async fn accept_list_many_routers() {
+    // Guards against a new router in a fleet of more than nine that runs with its static
+    // fraction of the slots for minutes. Links were made by the first heartbeat to a router
+    // only, which most routers get rarely, and reports to the owner were dropped until then.
     let name = "router-0".parse().unwrap();
     let zone = "hall-a".parse().unwrap();
     let settings = Settings::loopback(name, zone, ([127, 0, 0, 1], 1).into());
-    let router = Arc::new(make(settings));
+    let router = Arc::new(new_router(settings));
     let instances = (0..14).map(|n| Instance {
         name: format!("router-{n}"),
         role: Role::Router,
@@ -73,9 +73,9 @@
         revision: 1,
         instances: instances.collect(),
     };
-    router.take_list(listed, Taken::Always);
+    router.accept_list(listed, ListPolicy::Always);
     for n in 1..14 {
         let id = format!("router-{n}").parse().unwrap();
-        assert!(router.links.addr(&id).is_some(), "no way to {id}");
+        assert!(router.links.addr(&id).is_some(), "no link to {id}");
     }
 }
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -1,17 +1,17 @@
-//! The tables of one router.
+//! The state of one router.
 
 use {
     super::{
         changes::ChangeLog,
         clock::Clock,
+        counters::RequestCounters,
         delta::History,
         jobs::{
-            Jobs,
-            Verdict, //
+            JobDecision, //
+            PendingJobs,
         },
-        messages::Item,
-        tally::Tally,
-        times::Times, //
+        messages::PeerMessage,
+        run_times::RunTimes, //
     },
     crate::conf::Settings,
     kvstore::{
@@ -54,69 +54,69 @@
     },
 };
 
-/// What is in force and where it came from.
+/// The configuration in force and its source.
 #[derive(Debug)]
-pub(crate) struct InForce {
-    /// The highest revision heard of, and whom it can be had from.
+pub(crate) struct CurrentConfig {
+    /// The highest revision known, and the sources that have it.
     pub(crate) head: Head,
-    /// The whole configuration, to hand on to peers.
+    /// The complete configuration, to send to peers.
     pub(crate) config: Option<Arc<Config>>,
-    /// The parts of those before it, for peers that are behind.
+    /// The parts of earlier configurations, for deltas to peers that are behind.
     pub(crate) history: History,
-    /// Reads the parts that changed.
+    /// Parses only the parts that changed.
     pub(crate) loader: Loader,
-    /// The same, for look-ups.
+    /// The parsed configuration, for lookups.
     pub(crate) fleet: Arc<Fleet>,
 }
 
-/// The instances, as last listed.
+/// The list of instances, as last read.
 #[derive(Debug, Default)]
 pub(crate) struct Listing {
     /// The list.
     pub(crate) listed: Arc<Listed>,
-    /// What changed in it, for peers that are behind.
-    pub(crate) log: ChangeLog,
-    /// Replicas seen leaving by themselves, and until when that is believed.
+    /// Changes of the list, for peers that are behind.
+    pub(crate) changes: ChangeLog,
+    /// Replicas that reported leaving, and until when that overrides the list.
     pub(crate) withdrawn: HashMap<ReplicaId, Time>,
-    /// Since when all who read the list have a lower revision.
-    pub(crate) above: Option<Time>,
+    /// Since when all routers that read the list have had a lower revision.
+    pub(crate) behind_since: Option<Time>,
 }
 
-/// One router: its tables, and what they are driven by.
+/// One router: its state machines, its settings and its connections.
 ///
-/// Lock order: `force`, `listing`, `members`, `tickets`, `dispatch`, `jobs`; `budgets`,
-/// `times` and `tally` are taken alone. A task that
-/// needs two takes them in this order; none is held across an await.
+/// Lock order: `current_config`, `listing`, `members`, `tickets`, `dispatch`, `jobs`. A task
+/// that needs two takes them in this order. `retry_budgets`, `run_times` and `counters` are
+/// taken alone. No lock is held across an await.
 #[derive(Debug)]
 pub(crate) struct Router {
     pub(crate) settings: Settings,
     pub(crate) me: Holder,
     pub(crate) clock: Clock,
-    pub(crate) links: Arc<Links<Item>>,
+    pub(crate) links: Arc<Links<PeerMessage>>,
     pub(crate) endpoints: endpoints::Client,
-    pub(crate) force: Mutex<InForce>,
+    pub(crate) current_config: Mutex<CurrentConfig>,
     pub(crate) listing: Mutex<Listing>,
     pub(crate) members: Mutex<Members>,
     pub(crate) tickets: Mutex<Tickets>,
     pub(crate) dispatch: Mutex<Dispatch>,
-    pub(crate) jobs: Mutex<Jobs>,
-    pub(crate) budgets: Mutex<HashMap<ServiceId, Budget>>,
-    /// The dispatch had something to do since the last tick.
-    pub(crate) stirred: AtomicBool,
-    /// This router takes no new work any more.
+    pub(crate) jobs: Mutex<PendingJobs>,
+    pub(crate) retry_budgets: Mutex<HashMap<ServiceId, Budget>>,
+    /// The dispatch decided on an action since the last tick.
+    pub(crate) dispatch_acted: AtomicBool,
+    /// This router accepts no new requests.
     pub(crate) leaving: AtomicBool,
     /// The list of instances is being fetched from a peer.
-    pub(crate) fetching: AtomicBool,
+    pub(crate) fetching_list: AtomicBool,
     /// The platform did not answer this router's last call.
     pub(crate) no_platform: AtomicBool,
-    /// What workspaces asked of this router.
-    pub(crate) tally: Mutex<Tally>,
-    /// How long requests of a profile ran of late.
-    pub(crate) times: Mutex<Times>,
+    /// Requests and service received, by workspace and service.
+    pub(crate) counters: Mutex<RequestCounters>,
+    /// How long recent requests of a profile ran.
+    pub(crate) run_times: Mutex<RunTimes>,
 }
 
-/// Locks a table. A thread that panicked with the lock held has left a table that was
-/// changed by whole steps only, so the others go on with it.
+/// Locks a mutex, also after a thread panicked while it held the lock. State is changed by
+/// complete steps only, so that other threads can go on with it.
 pub(crate) fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(|e| e.into_inner())
 }
@@ -126,7 +126,7 @@
         self.clock.now()
     }
 
-    /// Returns how this router calls the platform.
+    /// Returns the options of this router for calls to the platform.
     pub(crate) fn platform_options(&self) -> kvstore::Options {
         kvstore::Options::new(self.settings.platform, self.me.router.as_str())
     }
@@ -138,44 +138,50 @@
         step: impl FnOnce(&mut Budget, Time) -> R,
     ) -> R {
         let now = self.now();
-        let mut budgets = lock(&self.budgets);
+        let mut budgets = lock(&self.retry_budgets);
         let budget = budgets
             .entry(service.clone())
             .or_insert_with(|| Budget::new(BudgetLimits::default()));
         step(budget, now)
     }
 
-    /// Runs a step of the dispatch and does what it decides.
+    /// Runs a step of the dispatch and carries out the actions that it decides on.
     pub(crate) fn dispatch<R>(&self, step: impl FnOnce(&mut Dispatch, Time) -> R) -> R {
         let mut dispatch = lock(&self.dispatch);
         let out = step(&mut dispatch, self.clock.now());
         let actions = dispatch.take_actions();
         if !actions.is_empty() {
-            self.stirred.store(true, Ordering::Relaxed);
+            self.dispatch_acted.store(true, Ordering::Relaxed);
         }
         for action in actions {
-            self.act(action);
+            self.perform(action);
         }
         out
     }
 
-    fn act(&self, action: Action) {
-        let (job, verdict) = match action {
-            Action::Send { to, msg } => return self.links.send(&to, Item::Share(msg)),
-            Action::Start { job, replica } => (job, Verdict::Start(replica)),
+    fn perform(&self, action: Action) {
+        let (job, decision) = match action {
+            Action::Send { to, msg } => return self.links.send(&to, PeerMessage::Dispatch(msg)),
+            Action::Start { job, replica } => (job, JobDecision::Start(replica)),
             Action::Reject {
                 job,
-                reason: why,
-                retry_after: after,
-            } => (job, Verdict::Refuse { why, after }),
+                reason,
+                retry_after,
+            } => (
+                job,
+                JobDecision::Reject {
+                    reason,
+                    retry_after,
+                },
+            ),
         };
-        if !lock(&self.jobs).tell(job, verdict) {
-            log::debug!("router: a decision came for a request that nobody waits for");
+        if !lock(&self.jobs).send(job, decision) {
+            log::debug!("router: a decision arrived for a request that no task waits for");
         }
     }
 
     pub(crate) fn fleet(&self) -> Arc<Fleet> {
-        lock(&self.force).fleet.clone()
+        lock(&self.current_config).fleet.clone()
     }
 
     pub(crate) fn is_leaving(&self) -> bool {
--- a/src/router/tests/ends.rs
+++ b/src/router/tests/ends.rs
@@ -1,8 +1,8 @@
 use {
-    super::stage::{
+    super::test_fleet::{
         request,
         until,
-        Stage, //
+        TestFleet, //
     },
     crate::router::{
         state::lock,
@@ -38,22 +38,22 @@
     Fault::Delay { ms: 30 },
 ];
 
-/// One request: of which profile, under which ticket, and when its caller hangs up.
-async fn ask(stage: Arc<Stage>, service: &str, seed: u64, ticket: String) {
+/// Sends a request of a random profile, with a random deadline, whose caller may hang up.
+async fn ask(fleet: Arc<TestFleet>, service: &str, seed: u64, ticket: String) {
     let mut rng = Rng::with_seed(seed);
     let profile = ["lookup", "batch", "renewal"][rng.usize(..3)];
-    let mut asked = request(service, profile, BODY);
-    asked.ticket = Some(ticket);
-    asked.deadline = Some(Duration::from_millis(rng.u64(1..3000)));
+    let mut request = request(service, profile, BODY);
+    request.ticket = Some(ticket);
+    request.deadline = Some(Duration::from_millis(rng.u64(1..3000)));
     let gone = Gone::new();
     if rng.bool() {
-        let (gone, patience) = (gone.clone(), Duration::from_micros(rng.u64(..60_000)));
+        let (gone, hang_up_after) = (gone.clone(), Duration::from_micros(rng.u64(..60_000)));
         task::spawn(async move {
-            task::sleep(patience).await;
+            task::sleep(hang_up_after).await;
             gone.fire();
         });
     }
-    stage.ask_until(rng.usize(..2), asked, gone).await;
+    fleet.ask_with_gone(rng.usize(..2), request, gone).await;
 }
 
 fn idle(router: &Router) -> bool {
@@ -62,9 +62,9 @@
     dump.running == 0 && dump.queued == 0 && tickets.running == 0 && lock(&router.jobs).is_empty()
 }
 
-/// Sends requests that end in all ways, and waits until nothing is left of them.
+/// Sends requests that end in all possible ways, and waits until the routers are idle.
 async fn run(service: &'static str, endpoint: SocketAddr, faults: &Faults) {
-    let stage = Arc::new(Stage::start(2, service, endpoint).await);
+    let fleet = Arc::new(TestFleet::start(2, service, endpoint).await);
     let mut rng = Rng::with_seed(7);
     for _ in 0..REQUESTS {
         match rng.u8(..3) {
@@ -76,10 +76,10 @@
     let mut ticket = String::new();
     for seed in 0..REQUESTS {
         if ticket.is_empty() || rng.bool() {
-            ticket = stage.ticket(rng.usize(..2));
+            ticket = fleet.ticket(rng.usize(..2));
         }
         tasks.push(task::spawn(ask(
-            stage.clone(),
+            fleet.clone(),
             service,
             seed,
             ticket.clone(),
@@ -89,12 +89,12 @@
     for t in tasks {
         t.await;
     }
-    for r in &stage.routers {
+    for r in &fleet.routers {
         until("an idle router", || idle(&r.router)).await;
     }
 }
 
-fn none_twice(runs: BTreeMap<String, u32>) {
+fn assert_none_ran_twice(runs: BTreeMap<String, u32>) {
     let tickets = runs.iter().filter(|(id, _)| id.starts_with("router-"));
     let twice: Vec<_> = tickets.filter(|(_, n)| **n > 1).collect();
     assert!(twice.is_empty(), "ran twice: {twice:?}");
@@ -102,21 +102,21 @@
 
 #[async_std::test]
 async fn handle_ends_all() {
-    // A router has fewer and fewer slots, a ticket is said to run for ever, or a router
-    // never ends. On some path, of callers that hang up, endpoints that fail, deadlines and
-    // refusals, a request was ended nowhere.
+    // Guards against requests that are never finished on some path: callers that hang up,
+    // endpoints that fail, deadlines and rejections. Their slots would be lost, their tickets
+    // stay running, and the router would never end.
     let desk = plain::start(plain::Opts {
         work: Duration::from_millis(10),
         ..plain::Opts::default()
     });
     let desk = desk.await.unwrap();
     run("broker-desk", desk.addr, &desk.faults).await;
-    none_twice(desk.runs());
+    assert_none_ran_twice(desk.runs());
 }
 
 #[async_std::test]
 async fn handle_ends_all_streams() {
-    // The same, where callers hang up between two tokens and streams break.
+    // The same for streams that break, and for callers that hang up between two tokens.
     let engine = engine::start(engine::Opts {
         first: Duration::from_millis(2),
         gap: Duration::from_millis(1),
@@ -124,5 +124,5 @@
     });
     let engine = engine.await.unwrap();
     run("drafting-llm", engine.addr, &engine.faults).await;
-    none_twice(engine.runs());
+    assert_none_ran_twice(engine.runs());
 }
--- a/src/router/tests/fleet.rs
+++ b/src/router/tests/fleet.rs
@@ -1,5 +1,5 @@
 use {
-    super::stage::until,
+    super::test_fleet::until,
     crate::{
         conf::Settings,
         router::{
@@ -22,7 +22,7 @@
     },
 };
 
-fn alone(name: &str, platform: SocketAddr, seeds: Vec<SocketAddr>) -> RouterHandle {
+fn start_router(name: &str, platform: SocketAddr, seeds: Vec<SocketAddr>) -> RouterHandle {
     let (name, zone) = (name.parse().unwrap(), "hall-a".parse().unwrap());
     let mut settings = Settings::loopback(name, zone, platform);
     settings.seeds = seeds;
@@ -42,20 +42,20 @@
 
 #[async_std::test]
 async fn fetch_after_two_texts() {
-    // One router keeps an old configuration for good. A restored platform had given two
-    // texts the same revision; the change to the next one was sent as what differs from
-    // the one text, and this router had the other.
-    let nobody = TcpListener::bind("127.0.0.1:0").unwrap();
-    let platform = nobody.local_addr().unwrap();
-    drop(nobody);
-    let a = alone("a", platform, Vec::new());
-    let b = alone("b", platform, vec![a.router.settings.peers.advertise]);
+    // Guards against a router that keeps an old configuration forever. A restored platform
+    // assigned one revision to two texts, and the delta to the next revision starts from the
+    // text that this router does not have.
+    let unused = TcpListener::bind("127.0.0.1:0").unwrap();
+    let platform = unused.local_addr().unwrap();
+    drop(unused);
+    let a = start_router("a", platform, Vec::new());
+    let b = start_router("b", platform, vec![a.router.settings.peers.advertise]);
     a.router
-        .take_config(config(5, "one", ""), &Source::Platform);
+        .apply_config(config(5, "one", ""), &Source::Platform);
     b.router
-        .take_config(config(5, "other", ""), &Source::Platform);
+        .apply_config(config(5, "other", ""), &Source::Platform);
     until("two routers", || b.router.status().members.len() == 2).await;
     a.router
-        .take_config(config(6, "one", "next"), &Source::Platform);
+        .apply_config(config(6, "one", "next"), &Source::Platform);
     until("the next one", || b.router.status().revision == 6).await;
 }
--- a/src/router/tests/mod.rs
+++ b/src/router/tests/mod.rs
@@ -1,7 +1,7 @@
-//! Whole routers in this process, with stand-ins as their endpoints.
+//! Tests of complete routers in this process, with simulated endpoints.
 
 mod ends;
 mod fleet;
 mod outcomes;
-mod stage;
+mod test_fleet;
 mod tickets;
--- a/src/router/tests/stage.rs
+++ b/src/router/tests/test_fleet.rs
@@ -1,4 +1,4 @@
-//! Routers on loopback, and requests to them.
+//! A fleet of routers on loopback, and requests to it.
 
 use {
     crate::{
@@ -40,37 +40,37 @@
     },
 };
 
-/// A bound that only a hang passes.
-const BOUND: Duration = Duration::from_secs(60);
+/// Longer than any step takes, unless it hangs.
+const TIMEOUT: Duration = Duration::from_secs(60);
 
-pub(crate) struct Stage {
+pub(crate) struct TestFleet {
     pub(crate) routers: Vec<RouterHandle>,
     _platform: stand_in::Handle,
 }
 
-/// What a caller got.
+/// An answer as the caller received it.
 #[derive(Debug, PartialEq)]
-pub(crate) struct Got {
+pub(crate) struct CallerAnswer {
     pub(crate) status: u16,
     pub(crate) outcome: Option<Outcome>,
     pub(crate) headers: Vec<(String, String)>,
     pub(crate) body: Vec<u8>,
-    /// A streamed body came to its end.
-    pub(crate) whole: bool,
+    /// The body is complete.
+    pub(crate) complete: bool,
 }
 
-/// Waits until `done` says so.
+/// Waits until `done` returns true.
 pub(crate) async fn until(what: &str, done: impl Fn() -> bool) {
     let begin = Instant::now();
     while !done() {
-        assert!(begin.elapsed() < BOUND, "{what} did not come about");
+        assert!(begin.elapsed() < TIMEOUT, "timeout waiting for {what}");
         task::sleep(Duration::from_millis(5)).await;
     }
 }
 
-impl Stage {
+impl TestFleet {
     /// Starts routers with the shipped configuration and one endpoint of a service.
-    pub(crate) async fn start(routers: usize, service: &str, endpoint: SocketAddr) -> Stage {
+    pub(crate) async fn start(routers: usize, service: &str, endpoint: SocketAddr) -> TestFleet {
         let platform = stand_in::start(stand_in::Options::default()).await.unwrap();
         configure(platform.addr).await;
         let mut list = vec![stand_in::Instance {
@@ -100,12 +100,12 @@
             started.push(start(settings, listeners));
         }
         platform.put_instances(list);
-        let stage = Stage {
+        let fleet = TestFleet {
             routers: started,
             _platform: platform,
         };
-        until("a ready fleet", || stage.ready(routers)).await;
-        stage
+        until("a ready fleet", || fleet.ready(routers)).await;
+        fleet
     }
 
     fn ready(&self, routers: usize) -> bool {
@@ -118,17 +118,22 @@
         })
     }
 
-    /// Has a router answer a request.
-    pub(crate) async fn ask(&self, router: usize, request: Request) -> Got {
-        self.ask_until(router, request, Gone::new()).await
+    /// Sends a request to a router and returns its answer.
+    pub(crate) async fn ask(&self, router: usize, request: Request) -> CallerAnswer {
+        self.ask_with_gone(router, request, Gone::new()).await
     }
 
-    /// The same, with a caller who may hang up.
-    pub(crate) async fn ask_until(&self, router: usize, request: Request, gone: Gone) -> Got {
+    /// The same, for a caller that may hang up.
+    pub(crate) async fn ask_with_gone(
+        &self,
+        router: usize,
+        request: Request,
+        gone: Gone,
+    ) -> CallerAnswer {
         let router = self.routers[router].router.clone();
         let request = Box::new(request);
         let response = handle(router, Ask::Request { request, gone }).await;
-        got(response).await
+        collect(response).await
     }
 
     pub(crate) fn ticket(&self, router: usize) -> String {
@@ -139,27 +144,27 @@
     }
 }
 
-async fn got(response: Response) -> Got {
-    let mut got = Got {
+async fn collect(response: Response) -> CallerAnswer {
+    let mut answer = CallerAnswer {
         status: response.status,
         outcome: response.outcome,
         headers: response.headers,
         body: Vec::new(),
-        whole: false,
+        complete: false,
     };
     match response.body {
-        Body::Whole(bytes) => (got.body, got.whole) = (bytes, true),
+        Body::Whole(bytes) => (answer.body, answer.complete) = (bytes, true),
         Body::Stream(pieces) => {
             while let Ok(piece) = pieces.recv().await {
                 match piece {
-                    Piece::Data(bytes) => got.body.extend(bytes),
-                    Piece::End => got.whole = true,
-                    Piece::Fail(refused) => got.outcome = Some(refused.outcome),
+                    Piece::Data(bytes) => answer.body.extend(bytes),
+                    Piece::End => answer.complete = true,
+                    Piece::Fail(refused) => answer.outcome = Some(refused.outcome),
                 }
             }
         }
     }
-    got
+    answer
 }
 
 async fn configure(platform: SocketAddr) {
@@ -173,7 +178,7 @@
     store::apply(&kv, change).await.unwrap();
 }
 
-/// Makes a request by `london`.
+/// Returns a request of the workspace `london`.
 pub(crate) fn request(service: &str, profile: &str, body: &str) -> Request {
     let target = match service {
         "drafting-llm" => "/v1/chat/completions",
