--- a/src/router/counters.rs
+++ b/src/router/counters.rs
@@ -37,12 +37,12 @@
 impl RequestCounters {
     /// Adds service received.
     pub(crate) fn add_units(&mut self, key: &CounterKey, units: Units) {
-        self.entry(key).received += units;
+        self.counts_of(key).received += units;
     }
 
     /// Counts how a request ended.
     pub(crate) fn record_outcome(&mut self, key: &CounterKey, outcome: Outcome) {
-        let counts = self.entry(key);
+        let counts = self.counts_of(key);
         match outcome {
             Outcome::Answered | Outcome::Failed => counts.answered += 1,
             Outcome::NotRun => counts.refused += 1,
@@ -50,7 +50,7 @@
         }
     }
 
-    fn entry(&mut self, key: &CounterKey) -> &mut Counts {
+    fn counts_of(&mut self, key: &CounterKey) -> &mut Counts {
         self.counts.entry(key.clone()).or_default()
     }
 
--- a/src/router/jobs.rs
+++ b/src/router/jobs.rs
@@ -49,7 +49,7 @@
     }
 
     /// Sends a decision to its task; returns whether one waits for it.
-    pub(crate) fn send(&self, job: JobId, decision: JobDecision) -> bool {
+    pub(crate) fn send_decision(&self, job: JobId, decision: JobDecision) -> bool {
         self.waiting
             .get(job)
             .is_some_and(|tx| tx.try_send(decision).is_ok())
--- a/src/router/progress.rs
+++ b/src/router/progress.rs
@@ -275,7 +275,7 @@
             self.router.dispatch(|d, now| d.requeue(job, replica, now));
             return None;
         }
-        let completion = completion_of(&self.admitted, &end, self.elapsed());
+        let completion = completion_of(&self.admitted, &end, self.attempt_time());
         end.outcome = self.overall_outcome(end.outcome);
         self.finish(completion);
         self.count_units(completion.units);
@@ -346,16 +346,16 @@
     }
 
     /// Returns how long the current attempt has run.
-    pub(crate) fn elapsed(&self) -> Duration {
+    pub(crate) fn attempt_time(&self) -> Duration {
         self.started.elapsed()
     }
 
     pub(crate) fn record_run_time(&self, end: &End) {
         if end.outcome == Outcome::Answered {
-            let elapsed = Span::from(self.elapsed());
+            let ran = Span::from(self.attempt_time());
             let job = &self.admitted.job;
             let now = self.router.now();
-            lock(&self.router.run_times).record(&job.service, &self.admitted.profile, elapsed, now);
+            lock(&self.router.run_times).record(&job.service, &self.admitted.profile, ran, now);
         }
     }
 
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -175,7 +175,7 @@
                 },
             ),
         };
-        if !lock(&self.jobs).send(job, decision) {
+        if !lock(&self.jobs).send_decision(job, decision) {
             log::debug!("router: a decision arrived for a request that no task waits for");
         }
     }
--- a/src/router/streaming.rs
+++ b/src/router/streaming.rs
@@ -174,7 +174,8 @@
         if end.leaving {
             self.request.router.report_leaving(&self.replica);
         }
-        let mut completion = completion_of(&self.request.admitted, &end, self.request.elapsed());
+        let mut completion =
+            completion_of(&self.request.admitted, &end, self.request.attempt_time());
         if self.gap_reported {
             completion.token_gap = None;
         }
--- a/src/router/tests/ends.rs
+++ b/src/router/tests/ends.rs
@@ -42,9 +42,9 @@
 async fn ask(fleet: Arc<TestFleet>, service: &str, seed: u64, ticket: String) {
     let mut rng = Rng::with_seed(seed);
     let profile = ["lookup", "batch", "renewal"][rng.usize(..3)];
-    let mut request = request(service, profile, BODY);
-    request.ticket = Some(ticket);
-    request.deadline = Some(Duration::from_millis(rng.u64(1..3000)));
+    let mut sent = request(service, profile, BODY);
+    sent.ticket = Some(ticket);
+    sent.deadline = Some(Duration::from_millis(rng.u64(1..3000)));
     let gone = Gone::new();
     if rng.bool() {
         let (gone, hang_up_after) = (gone.clone(), Duration::from_micros(rng.u64(..60_000)));
@@ -53,7 +53,7 @@
             gone.fire();
         });
     }
-    fleet.ask_with_gone(rng.usize(..2), request, gone).await;
+    fleet.ask_with_gone(rng.usize(..2), sent, gone).await;
 }
 
 fn idle(router: &Router) -> bool {
--- a/src/router/tests/outcomes.rs
+++ b/src/router/tests/outcomes.rs
@@ -30,13 +30,13 @@
     let desk = desk.await.unwrap();
     let fleet = TestFleet::start(1, "broker-desk", desk.addr).await;
     desk.faults.order(Fault::ResetUnanswered, 1);
-    let request = fleet.ask(0, request("broker-desk", "lookup", "17"));
+    let pending = fleet.ask(0, request("broker-desk", "lookup", "17"));
     let left = async {
         until("a run", || !desk.runs().is_empty()).await;
         let router = &fleet.routers[0].router;
         router.dispatch(|d, now| d.configure(Rules::default(), now));
     };
-    let (answer, ()) = zip(request, left).await;
+    let (answer, ()) = zip(pending, left).await;
     assert_eq!(answer.outcome, Some(Outcome::MayHaveRun), "{answer:?}");
 }
 
