--- a/crates/gateway/src/serve/choose.rs
+++ b/crates/gateway/src/serve/choose.rs
@@ -185,13 +185,13 @@
                 id: replica.id.clone(),
                 key,
                 slots: engine.slots,
-                can_copy: engine.copies,
-                memory: engine.memory,
+                can_copy: engine.copies_cache,
+                memory: engine.memory_tokens,
                 speed: self.speeds.of(key),
                 load: self.board.load(key, now),
                 penalty: self.health.get(&key).map_or(0.0, |h| h.penalty(baseline)),
                 cached_age_s: self
-                    .cached
+                    .cached_prefixes
                     .get(&(key, affinity_key))
                     .map(|at| now.since(*at).as_secs()),
             })
@@ -202,7 +202,7 @@
         let request = PlacementRequest {
             prompt,
             answer: answer_state,
-            target: Span::from(req.route.target),
+            target: Span::from(req.route.latency_target),
             shortest_target: Span::from(req.min_target),
             usage,
             load_interval: self.fleet.gossip_interval(),
--- a/crates/gateway/src/serve/progress.rs
+++ b/crates/gateway/src/serve/progress.rs
@@ -101,10 +101,10 @@
     ///
     /// Why it may not.
     pub(crate) fn check_rerun(&self, req: &Request) -> Result<(), NoRetry> {
-        if !req.route.repeatable() {
+        if !req.route.is_repeatable() {
             return Err(NoRetry::MayHaveRun);
         }
-        if self.ran.len() as u32 >= req.route.attempts {
+        if self.ran.len() as u32 >= req.route.max_attempts {
             return Err(NoRetry::Attempts);
         }
         if !has_time(req.until) {
@@ -162,10 +162,10 @@
     ) -> Result<(), NoRetry> {
         let limit = match known_not_run {
             // A replica that rejected the request has not used up an attempt.
-            true => req.route.attempts.max(2),
-            false => req.route.attempts,
+            true => req.route.max_attempts.max(2),
+            false => req.route.max_attempts,
         };
-        let safe = known_not_run && !self.may_have_run || req.route.repeatable();
+        let safe = known_not_run && !self.may_have_run || req.route.is_repeatable();
         if !safe {
             return Err(NoRetry::MayHaveRun);
         }
--- a/crates/gateway/src/serve/stream.rs
+++ b/crates/gateway/src/serve/stream.rs
@@ -93,7 +93,7 @@
     source: &mut StreamSource,
     progress: &mut RequestProgress,
 ) -> Result<Option<StreamSource>, AttemptError> {
-    if !req.route.repeatable() {
+    if !req.route.is_repeatable() {
         source.read().await?;
         return Ok(None);
     }
--- a/crates/policy/src/pool/mod.rs
+++ b/crates/policy/src/pool/mod.rs
@@ -1,34 +1,34 @@
-//! Slots of replicas, lent by an owner to the routers where work waits.
+//! Pools of slots: the owner of a pool grants its slots to the routers where requests are queued.
 
-mod body;
-mod borrower;
-mod bucket;
-mod cell;
-mod fill;
-mod hold;
-mod lot;
-mod moves;
+mod byte_budget;
+mod client;
+mod estimate;
+mod granted_slots;
+mod grantee;
+mod grants;
+mod liveness;
+mod owned_slots;
 mod owner;
-mod pace;
-mod tell;
-mod wants;
-mod watch;
+mod rebalance;
+mod report_body;
+mod targets;
+mod water_fill;
 
-use self::{
-    borrower::Borrower,
-    cell::Cell,
-    fill::{
-        fill,
-        Row, //
-    },
-    lot::Lot,
-    pace::Pace, //
-};
 pub(crate) use self::{
-    bucket::Bucket,
-    hold::Hold,
+    byte_budget::ByteBudget,
+    client::PoolClient,
     owner::Pool, //
 };
+use self::{
+    estimate::RequestEstimate,
+    granted_slots::GrantedSlots,
+    grantee::Grantee,
+    owned_slots::OwnedSlots,
+    water_fill::{
+        water_fill,
+        Claimant, //
+    },
+};
 
-/// Limits of replicas, as last heard of.
-pub(crate) type Limits = std::collections::BTreeMap<crate::entry::ReplicaKey, u32>;
+/// Concurrency limits of replicas, as last received.
+pub(crate) type Limits = std::collections::BTreeMap<crate::service::ReplicaKey, u32>;
--- a/src/router/heartbeats.rs
+++ b/src/router/heartbeats.rs
@@ -17,9 +17,9 @@
     policy::{
         members::{
             Event,
-            Intro,
             LocalStatus,
             Member,
+            RouterAddresses,
             State, //
         },
         Peer,
@@ -89,7 +89,7 @@
                 } => {
                     let zone = lock(&self.members).get(&to).map(|m| m.zone.clone());
                     let delay = zone.map_or(Duration::ZERO, |z| self.link_delay(&z));
-                    self.links.route(&to, addr, delay);
+                    self.links.set_route(&to, addr, delay);
                     self.links.send(&to, PeerMessage::Heartbeat(*heartbeat));
                 }
                 Event::Changed => self.update_members(),
@@ -132,7 +132,8 @@
     /// and run with its static fraction.
     fn update_links(&self, up: &[Member]) {
         for m in up {
-            self.links.route(&m.id, m.addr, self.link_delay(&m.zone));
+            self.links
+                .set_route(&m.id, m.addr, self.link_delay(&m.zone));
         }
         self.links.retain(|id| up.iter().any(|m| m.id == *id));
     }
@@ -180,11 +181,11 @@
     }
 }
 
-pub(crate) fn intro(router: &Router) -> Intro {
-    Intro {
+pub(crate) fn intro(router: &Router) -> RouterAddresses {
+    RouterAddresses {
         addr: router.settings.peers.advertise,
-        callers: router.settings.callers.advertise,
-        operators: Some(router.settings.operators.advertise),
+        caller_addr: router.settings.callers.advertise,
+        operator_addr: Some(router.settings.operators.advertise),
         zone: router.settings.zone.clone(),
     }
 }
@@ -208,10 +209,10 @@
         let view = lock(&self.members).view();
         let known = view.into_iter().map(|m| KnownRouter {
             id: m.id,
-            intro: Intro {
+            intro: RouterAddresses {
                 addr: m.addr,
-                callers: m.callers,
-                operators: m.operators,
+                caller_addr: m.caller_addr,
+                operator_addr: m.operator_addr,
                 zone: m.zone,
             },
         });
--- a/src/router/inbox.rs
+++ b/src/router/inbox.rs
@@ -26,7 +26,7 @@
     let receiver = router.clone();
     let responder = router.clone();
     Handler {
-        take: Box::new(move |m| receive(&receiver, m)),
+        receive: Box::new(move |m| receive(&receiver, m)),
         answer: Box::new(move |from, q| answer(responder.clone(), from, q)),
     }
 }
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -9,7 +9,7 @@
     policy::{
         members::{
             Heartbeat,
-            Intro, //
+            RouterAddresses, //
         },
         tickets::{
             TransferReply,
@@ -68,5 +68,5 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct KnownRouter {
     pub(crate) id: RouterId,
-    pub(crate) intro: Intro,
+    pub(crate) intro: RouterAddresses,
 }
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -44,15 +44,15 @@
         Loader, //
     },
     peers::{
-        Links,
-        Pace, //
+        LinkTiming,
+        Links, //
     },
     policy::{
         head::Head,
         members::{
-            Intro,
             Members,
-            MembershipParams, //
+            MembershipParams,
+            RouterAddresses, //
         },
         tickets::{
             Holder,
@@ -189,10 +189,10 @@
         incarnation: incarnation(),
     };
     let clock = Clock::new();
-    let intro = Intro {
+    let intro = RouterAddresses {
         addr: settings.peers.advertise,
-        callers: settings.callers.advertise,
-        operators: Some(settings.operators.advertise),
+        caller_addr: settings.callers.advertise,
+        operator_addr: Some(settings.operators.advertise),
         zone: settings.zone.clone(),
     };
     let peer = Peer {
@@ -203,7 +203,7 @@
     };
     let seed = fastrand::u64(..);
     Router {
-        links: Links::new(me.router.clone(), me.incarnation, Pace::default()),
+        links: Links::new(me.router.clone(), me.incarnation, LinkTiming::default()),
         endpoints: endpoints::Client::new(endpoints::Options::default()),
         current_config: Mutex::new(CurrentConfig {
             head: Head::new(clock.now()),
