--- a/crates/gateway/src/follow/registration.rs
+++ b/crates/gateway/src/follow/registration.rs
@@ -241,7 +241,7 @@
             return;
         };
         let state = entry_state(&gw.settings.name, lease.id, written_at, seen, asked_at);
-        if state != EntryState::Stands {
+        if state != EntryState::Valid {
             log::warn!("event=register outcome=lost lease={lease} cause={state:?}");
             self.entry = None;
         }
--- a/crates/policy/src/quota/tally.rs
+++ b/crates/policy/src/quota/tally.rs
@@ -1,4 +1,4 @@
-//! What became of the requests of each workspace at one router, for operators.
+//! Outcomes of each workspace's requests at one router, for operators.
 
 use {
     super::UsageStanding,
@@ -12,29 +12,29 @@
     },
 };
 
-/// Tokens of a workspace by what became of them.
+/// Tokens of a workspace by the outcome of their requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Outcomes {
-    /// Begun.
-    pub begun: u64,
-    /// Refused though the request was within its workspace's even part, as slots were taken.
+    /// Started.
+    pub started: u64,
+    /// Rejected for lack of slots, though the request was within its workspace's max-min share.
     pub slots: u64,
-    /// The same, as their best engines fail requests.
+    /// The same, because the best engines fail requests.
     pub failures: u64,
-    /// The same for any other reason, such as time to be read.
+    /// The same, for any other reason such as the time to read prompts.
     pub time: u64,
-    /// Refused beyond the even part.
+    /// Rejected beyond the max-min share.
     pub beyond: u64,
 }
 
 impl Outcomes {
-    /// Returns the tokens that were refused.
-    pub fn refused(&self) -> u64 {
+    /// Returns the rejected tokens.
+    pub fn rejected(&self) -> u64 {
         self.slots + self.failures + self.time + self.beyond
     }
 }
 
-/// Counts outcomes until they are taken.
+/// Counts outcomes until they are collected.
 ///
 /// # Examples
 ///
@@ -43,10 +43,10 @@
 ///
 /// let mut tally = Tally::default();
 /// let workspace = "w1".parse()?;
-/// tally.begun(&workspace, 100);
-/// tally.refused(&workspace, 900, UsageStanding::default(), Bound::Slots);
+/// tally.record_started(&workspace, 100);
+/// tally.record_rejected(&workspace, 900, UsageStanding::default(), Bound::Slots);
 /// let (_, outcomes) = &tally.take(8)[0];
-/// assert_eq!((outcomes.begun, outcomes.slots), (100, 900));
+/// assert_eq!((outcomes.started, outcomes.slots), (100, 900));
 /// assert!(tally.take(8).is_empty());
 /// # Ok::<(), policy::IdError>(())
 /// ```
@@ -56,21 +56,21 @@
 }
 
 impl Tally {
-    /// Counts a request that begins.
-    pub fn begun(&mut self, workspace: &WorkspaceId, tokens: u64) {
-        self.of(workspace).begun += tokens;
+    /// Counts a request that starts.
+    pub fn record_started(&mut self, workspace: &WorkspaceId, tokens: u64) {
+        self.of(workspace).started += tokens;
     }
 
-    /// Counts a request that is refused, by why its best engine does not take it.
-    pub fn refused(
+    /// Counts a rejected request, by the limit because of which its best engine doesn't take it.
+    pub fn record_rejected(
         &mut self,
         workspace: &WorkspaceId,
         tokens: u64,
-        at: UsageStanding,
+        usage: UsageStanding,
         bound: Bound,
     ) {
         let counts = self.of(workspace);
-        let count = match (at.max_min_ratio > 1.0, bound) {
+        let count = match (usage.max_min_ratio > 1.0, bound) {
             (true, _) => &mut counts.beyond,
             (false, Bound::Slots) => &mut counts.slots,
             (false, Bound::Failures) => &mut counts.failures,
@@ -79,12 +79,13 @@
         *count += tokens;
     }
 
-    /// Returns the workspaces that had most refused, so many at the most, and begins anew.
+    /// Returns the workspaces with most rejected tokens, up to `most` of them, and resets the
+    /// counts.
     pub fn take(&mut self, most: usize) -> Vec<(WorkspaceId, Outcomes)> {
-        let refused = self.counts.drain().filter(|(_, o)| o.refused() > 0);
-        let mut all: Vec<_> = refused.collect();
+        let rejected = self.counts.drain().filter(|(_, o)| o.rejected() > 0);
+        let mut all: Vec<_> = rejected.collect();
         all.sort_by(|(a, x), (b, y)| {
-            let key = |o: &Outcomes| Reverse(o.refused());
+            let key = |o: &Outcomes| Reverse(o.rejected());
             key(x).cmp(&key(y)).then_with(|| a.cmp(b))
         });
         all.truncate(most);
