--- a/crates/callers/tests/bad_input.rs
+++ b/crates/callers/tests/bad_input.rs
@@ -1,5 +1,5 @@
-//! Bad input: each gets a clear answer or a closed connection in a bounded time, the handler
-//! never sees it, and other callers are served as ever.
+//! Invalid input: it is rejected or its connection is closed in a bounded time, the handler is
+//! not called, and other callers are served.
 
 mod common;
 
@@ -11,11 +11,11 @@
         Response, //
     },
     common::{
+        assert_serves,
         echo,
-        serves,
+        send_raw,
         start,
-        tell,
-        Raw,
+        RawConnection,
         HEAD, //
     },
     policy::Outcome,
@@ -31,38 +31,42 @@
     },
 };
 
-const LONG: Duration = Duration::from_secs(600);
+const LONG_TIMEOUT: Duration = Duration::from_secs(600);
 
-/// Small bounds on size, and bounds on time that no test here meets.
+/// Small size limits, and timeouts that no test reaches.
 fn limits() -> Limits {
     Limits {
         head_bytes: 2048,
         head_count: 10,
         body_bytes: 1024,
-        head_timeout: LONG,
-        body_timeout: LONG,
-        idle_timeout: LONG,
+        head_timeout: LONG_TIMEOUT,
+        body_timeout: LONG_TIMEOUT,
+        idle_timeout: LONG_TIMEOUT,
         ..Limits::default()
     }
 }
 
-/// Sends bytes to a server and returns the answer, with the proof that nothing ran and that
-/// others are served.
-async fn refused(limits: Limits, bytes: impl AsRef<[u8]>) -> String {
-    let ran = Arc::new(AtomicUsize::new(0));
-    let count = ran.clone();
-    let (_server, address) = start(limits, move |ask: IncomingRequest| {
+/// Sends bytes to a server and returns the response. Asserts that the handler was not called and
+/// that others are served.
+async fn send_rejected(limits: Limits, bytes: impl AsRef<[u8]>) -> String {
+    let calls = Arc::new(AtomicUsize::new(0));
+    let count = calls.clone();
+    let (_server, address) = start(limits, move |request: IncomingRequest| {
         count.fetch_add(1, Ordering::SeqCst);
-        echo(ask)
+        echo(request)
     })
     .await;
-    let text = tell(address, bytes).await;
-    assert_eq!(ran.load(Ordering::SeqCst), 0, "the handler saw it: {text}");
-    serves(address).await;
+    let text = send_raw(address, bytes).await;
+    assert_eq!(
+        calls.load(Ordering::SeqCst),
+        0,
+        "the handler was called: {text}"
+    );
+    assert_serves(address).await;
     text
 }
 
-fn expect(text: &str, status: u16, part: &str) {
+fn assert_rejected(text: &str, status: u16, part: &str) {
     assert!(text.starts_with(&format!("HTTP/1.1 {status} ")), "{text}");
     assert!(text.contains("chervilwind-outcome: not-run\r\n"), "{text}");
     assert!(text.contains("connection: close\r\n"), "{text}");
@@ -73,51 +77,51 @@
 fn head_oversized() {
     task::block_on(async {
         let long = format!("{HEAD}x-long: {}\r\n\r\n", "a".repeat(4000));
-        expect(&refused(limits(), long).await, 431, "2048 bytes");
-        // One that never ends is refused at the bound, not read on.
+        assert_rejected(&send_rejected(limits(), long).await, 431, "2048 bytes");
+        // A head without an end is rejected at the limit.
         let endless = format!("{HEAD}x-long: {}", "a".repeat(100_000));
-        expect(&refused(limits(), endless).await, 431, "2048 bytes");
+        assert_rejected(&send_rejected(limits(), endless).await, 431, "2048 bytes");
     });
 }
 
 #[test]
-fn head_many() {
+fn head_with_too_many_headers() {
     task::block_on(async {
         let many = format!("{HEAD}{}\r\n", "a: b\r\n".repeat(20));
-        expect(&refused(limits(), many).await, 431, "at most 10");
+        assert_rejected(&send_rejected(limits(), many).await, 431, "at most 10");
     });
 }
 
 #[test]
 fn body_oversized() {
     task::block_on(async {
-        // It is refused from its head: no byte of the body is awaited.
+        // The request is rejected after its head, without waiting for the body.
         let declared = format!("{HEAD}content-length: 1025\r\n\r\n");
-        expect(&refused(limits(), declared).await, 413, "1024 bytes");
+        assert_rejected(&send_rejected(limits(), declared).await, 413, "1024 bytes");
         let huge = format!("{HEAD}content-length: {}\r\n\r\n", u64::MAX);
-        expect(&refused(limits(), huge).await, 413, "1024 bytes");
-        // A length beyond 64 bits is no number to the HTTP library.
+        assert_rejected(&send_rejected(limits(), huge).await, 413, "1024 bytes");
+        // The HTTP library does not parse a length beyond 64 bits.
         let beyond = format!("{HEAD}content-length: {}0\r\n\r\n", u64::MAX);
-        expect(&refused(limits(), beyond).await, 400, "bad-request");
-        // A caller that sends it all the same must not be reset before it reads why.
+        assert_rejected(&send_rejected(limits(), beyond).await, 400, "bad-request");
+        // A caller that sends the body anyway must get the response before the connection is reset.
         let whole = format!(
             "{HEAD}content-length: 900000\r\n\r\n{}",
             "a".repeat(900_000)
         );
-        expect(&refused(limits(), whole).await, 413, "1024 bytes");
+        assert_rejected(&send_rejected(limits(), whole).await, 413, "1024 bytes");
         let chunk = format!("200\r\n{}\r\n", "a".repeat(512));
         let chunked = format!(
             "{HEAD}transfer-encoding: chunked\r\n\r\n{}",
             chunk.repeat(3)
         );
-        expect(&refused(limits(), chunked).await, 413, "1024 bytes");
+        assert_rejected(&send_rejected(limits(), chunked).await, 413, "1024 bytes");
     });
 }
 
 #[test]
 fn body_ambiguous() {
-    // Two readers that find the end of a body in different places let one caller's bytes be
-    // taken for another's request. Every such head is refused and the connection closed.
+    // If two parsers disagree on the end of a body, one caller's bytes may be treated as another
+    // request (request smuggling). Every such head is rejected and the connection closed.
     task::block_on(async {
         for extra in [
             "content-length: 3\r\ncontent-length: 4\r\n",
@@ -128,8 +132,8 @@
             "transfer-encoding: gzip, chunked\r\n",
             "transfer-encoding: identity\r\n",
         ] {
-            let text = refused(limits(), format!("{HEAD}{extra}\r\nabc")).await;
-            expect(&text, 400, "bad-request");
+            let text = send_rejected(limits(), format!("{HEAD}{extra}\r\nabc")).await;
+            assert_rejected(&text, 400, "bad-request");
         }
         for chunks in [
             "zz\r\nabc\r\n",
@@ -137,29 +141,29 @@
             "0\r\n\r\nGET / HTTP/1.1\r\n\r\n",
         ] {
             let bytes = format!("{HEAD}transfer-encoding: chunked\r\n\r\n{chunks}");
-            expect(&refused(limits(), bytes).await, 400, "malformed");
+            assert_rejected(&send_rejected(limits(), bytes).await, 400, "malformed");
         }
     });
 }
 
 #[test]
-fn header_not_text() {
-    // The HTTP library panics at a header that is UTF-8 and not ASCII.
+fn header_not_ascii() {
+    // The HTTP library panics at header values that are UTF-8 but not ASCII.
     task::block_on(async {
         for value in [&b"caf\xc3\xa9"[..], b"\xff\xfe", b"a\0b", b"a\x1bb"] {
             let bytes = [HEAD.as_bytes(), b"x-name: ", value, b"\r\n\r\n"].concat();
-            expect(&refused(limits(), bytes).await, 400, "not text");
+            assert_rejected(&send_rejected(limits(), bytes).await, 400, "not text");
         }
     });
 }
 
 #[test]
-fn trailer_not_text() {
-    // The library panics here too, in the middle of the body.
+fn trailer_not_ascii() {
+    // The library also panics at trailers that are not ASCII, while reading the body.
     task::block_on(async {
         let chunks = b"transfer-encoding: chunked\r\n\r\n0\r\nx-name: caf\xc3\xa9\r\n\r\n";
         let bytes = [HEAD.as_bytes(), chunks].concat();
-        expect(&refused(limits(), bytes).await, 400, "malformed");
+        assert_rejected(&send_rejected(limits(), bytes).await, 400, "malformed");
     });
 }
 
@@ -172,22 +176,22 @@
                 .split_inclusive("\r\n")
                 .filter(|line| !line.starts_with(&name))
                 .collect();
-            let text = refused(limits(), format!("{without}\r\n")).await;
-            expect(&text, 400, &format!("`{name}` is missing"));
+            let text = send_rejected(limits(), format!("{without}\r\n")).await;
+            assert_rejected(&text, 400, &format!("`{name}` is missing"));
             for value in ["", "a b", "a/b", &"a".repeat(65)] {
                 let bad = format!("{without}{name}: {value}\r\n\r\n");
-                expect(&refused(limits(), bad).await, 400, &name);
+                assert_rejected(&send_rejected(limits(), bad).await, 400, &name);
             }
             let twice = format!("{HEAD}{name}: other\r\n\r\n");
-            expect(&refused(limits(), twice).await, 400, "stands twice");
+            assert_rejected(&send_rejected(limits(), twice).await, 400, "stands twice");
         }
     });
 }
 
 #[test]
-fn deadline_bad() {
+fn deadline_invalid() {
     task::block_on(async {
-        for (value, status, why) in [
+        for (value, status, reason) in [
             ("soon", 400, "bad-deadline"),
             ("1.5", 400, "bad-deadline"),
             ("", 400, "bad-deadline"),
@@ -196,17 +200,17 @@
             ("-5", 504, "expired"),
         ] {
             let head = format!("{HEAD}chervilwind-deadline-ms: {value}\r\n\r\n");
-            expect(&refused(limits(), head).await, status, why);
+            assert_rejected(&send_rejected(limits(), head).await, status, reason);
         }
     });
 }
 
 #[test]
-fn deadline_spent() {
-    // The body comes so slowly that the deadline passes meanwhile.
+fn deadline_passes_during_body() {
+    // The deadline passes while the body is being received.
     task::block_on(async {
         let head = format!("{HEAD}chervilwind-deadline-ms: 50\r\ncontent-length: 9\r\n\r\nabc");
-        expect(&refused(limits(), head).await, 504, "expired");
+        assert_rejected(&send_rejected(limits(), head).await, 504, "expired");
     });
 }
 
@@ -223,7 +227,7 @@
             b"GET x HTTP/1.1\r\nhost: r\r\n\r\n",
             b"GET / HTTP/1.1\r\nhost: a b\r\n\r\n",
         ] {
-            expect(&refused(limits(), bytes).await, 400, "\"why\":\"bad-");
+            assert_rejected(&send_rejected(limits(), bytes).await, 400, "\"why\":\"bad-");
         }
     });
 }
@@ -232,34 +236,38 @@
 fn path_unknown() {
     task::block_on(async {
         let get = "GET /chervilwind/nothing HTTP/1.1\r\nhost: r\r\n\r\n";
-        expect(&refused(limits(), get).await, 404, "/chervilwind/where");
+        assert_rejected(
+            &send_rejected(limits(), get).await,
+            404,
+            "/chervilwind/where",
+        );
     });
 }
 
 #[test]
 fn pipelined_garbage() {
-    // Garbage follows a request on the same connection. The request is answered whole, then
-    // the garbage is refused and the connection closed.
+    // Garbage follows a request on the same connection. The request is answered, then the
+    // garbage is rejected and the connection closed.
     task::block_on(async {
         let (_server, address) = start(limits(), echo).await;
         let one = format!("{HEAD}content-length: 2\r\n\r\nok");
-        let text = tell(address, one + "\0\0garbage\r\n\r\n").await;
+        let text = send_raw(address, one + "\0\0garbage\r\n\r\n").await;
         assert!(text.starts_with("HTTP/1.1 200 OK\r\n"), "{text}");
         let (_, rest) = text.split_once("\r\n\r\nok").unwrap();
-        expect(rest, 400, "not text");
-        serves(address).await;
+        assert_rejected(rest, 400, "not text");
+        assert_serves(address).await;
     });
 }
 
 #[test]
 fn head_slow() {
-    // A caller sends a byte now and then, so that the connection is never idle.
+    // A caller that keeps sending bytes slowly is never idle, so the head has its own timeout.
     task::block_on(async {
         let slow = Limits {
             head_timeout: Duration::from_millis(100),
             ..limits()
         };
-        expect(&refused(slow, "GET").await, 408, "head-timeout");
+        assert_rejected(&send_rejected(slow, "GET").await, 408, "head-timeout");
     });
 }
 
@@ -271,9 +279,13 @@
             ..limits()
         };
         let fixed = format!("{HEAD}content-length: 9\r\n\r\nabc");
-        expect(&refused(slow.clone(), fixed).await, 408, "body-timeout");
+        assert_rejected(
+            &send_rejected(slow.clone(), fixed).await,
+            408,
+            "body-timeout",
+        );
         let chunked = format!("{HEAD}transfer-encoding: chunked\r\n\r\n9\r\nabc");
-        expect(&refused(slow, chunked).await, 408, "body-timeout");
+        assert_rejected(&send_rejected(slow, chunked).await, 408, "body-timeout");
     });
 }
 
@@ -285,12 +297,15 @@
             ..limits()
         };
         let (_server, address) = start(idle, echo).await;
-        assert_eq!(Raw::connect(address).await.rest().await, "");
+        assert_eq!(
+            RawConnection::connect(address).await.read_to_end().await,
+            ""
+        );
     });
 }
 
 #[test]
-fn connections_many() {
+fn connections_beyond_limit() {
     task::block_on(async {
         for few in [
             Limits {
@@ -303,25 +318,25 @@
             },
         ] {
             let (server, address) = start(few, echo).await;
-            let mut kept = Vec::new();
+            let mut connections = Vec::new();
             for _ in 0..2 {
-                let mut raw = Raw::connect(address).await;
+                let mut raw = RawConnection::connect(address).await;
                 raw.send(format!("{HEAD}content-length: 2\r\n\r\nok")).await;
-                raw.until("ok").await;
-                kept.push(raw);
+                raw.read_until("ok").await;
+                connections.push(raw);
             }
-            let text = tell(address, format!("{HEAD}\r\n")).await;
-            expect(&text, 503, "too-many-connections");
-            // Those that were there first are served on.
-            kept[0]
+            let text = send_raw(address, format!("{HEAD}\r\n")).await;
+            assert_rejected(&text, 503, "too-many-connections");
+            // Earlier connections are still served.
+            connections[0]
                 .send(format!("{HEAD}content-length: 2\r\n\r\nok"))
                 .await;
-            kept[0].until("ok").await;
-            drop(kept);
+            connections[0].read_until("ok").await;
+            drop(connections);
             while server.connections() > 0 {
                 task::sleep(Duration::from_millis(1)).await;
             }
-            serves(address).await;
+            assert_serves(address).await;
         }
     });
 }
@@ -330,29 +345,33 @@
 fn expect_continue() {
     task::block_on(async {
         let (_server, address) = start(limits(), echo).await;
-        let mut raw = Raw::connect(address).await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(format!(
             "{HEAD}expect: 100-continue\r\ncontent-length: 2\r\n\r\n"
         ))
         .await;
-        raw.until("HTTP/1.1 100 Continue\r\n\r\n").await;
+        raw.read_until("HTTP/1.1 100 Continue\r\n\r\n").await;
         raw.send("ok").await;
-        raw.until("\r\n\r\nok").await;
-        // Nobody is asked to send a body that will be refused.
+        raw.read_until("\r\n\r\nok").await;
+        // `100 Continue` is not sent for a body that will be rejected.
         let long = "expect: 100-continue\r\ncontent-length: 9999\r\n\r\n";
-        expect(&tell(address, format!("{HEAD}{long}")).await, 413, "1024");
+        assert_rejected(
+            &send_raw(address, format!("{HEAD}{long}")).await,
+            413,
+            "1024",
+        );
     });
 }
 
 #[test]
-fn response_status_odd() {
-    // An endpoint answers with a status that the HTTP library does not know.
+fn response_status_unsupported() {
+    // An endpoint responds with a status that the HTTP library does not support.
     task::block_on(async {
         let (_server, address) = start(limits(), |_| async {
             Response::complete(499, Outcome::Failed, Vec::new())
         })
         .await;
-        let text = tell(address, format!("{HEAD}connection: close\r\n\r\n")).await;
+        let text = send_raw(address, format!("{HEAD}connection: close\r\n\r\n")).await;
         assert!(text.starts_with("HTTP/1.1 400 "), "{text}");
     });
 }
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -1,4 +1,4 @@
-//! The client: what it keeps, which router is next, and what is sent again.
+//! The client: its cache, the choice of routers, and retries.
 
 mod common;
 
@@ -23,8 +23,8 @@
         Response,
     },
     common::{
-        soon,
         start, //
+        with_timeout,
     },
     futures_lite::{
         AsyncReadExt,
@@ -47,8 +47,8 @@
 
 type Log = Arc<Mutex<Vec<String>>>;
 
-/// Starts a router that answers a request as given, and logs what it is asked.
-async fn router(
+/// Starts a router that responds with `answer`, and logs its requests.
+async fn start_router(
     name: &'static str,
     log: &Log,
     answer: impl Fn(&callers::Request) -> Response + Send + Sync + Clone + 'static,
@@ -93,8 +93,8 @@
     }
 }
 
-/// Starts a router that only answers which addresses to use.
-async fn guide(log: &Log, all: &[SocketAddr], keep_ms: u64) -> SocketAddr {
+/// Starts a router that only returns address lists.
+async fn start_address_router(log: &Log, all: &[SocketAddr], keep_ms: u64) -> SocketAddr {
     let answer = addresses(all, keep_ms, Vec::new());
     let log = log.clone();
     let (_server, address) = start(Limits::default(), move |_| {
@@ -106,8 +106,8 @@
     address
 }
 
-/// Starts a router that takes a request and breaks the connection, after some bytes.
-async fn breaking(log: &Log, name: &'static str, bytes: &'static str) -> SocketAddr {
+/// Starts a router that closes the connection of each request after sending `bytes`.
+async fn start_breaking_router(log: &Log, name: &'static str, bytes: &'static str) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let log = log.clone();
@@ -155,7 +155,7 @@
     )
 }
 
-fn once() -> Call {
+fn at_most_once_call() -> Call {
     Call {
         at_most_once: true,
         ..call()
@@ -170,51 +170,52 @@
     Refused::new(Reason::Leaving, "use another address").into()
 }
 
-fn logged(log: &Log) -> Vec<String> {
+fn take_log(log: &Log) -> Vec<String> {
     std::mem::take(&mut log.lock().unwrap())
 }
 
-fn why(answer: &Answer) -> Option<Reason> {
+fn reason_of(answer: &Answer) -> Option<Reason> {
     answer.refused.as_ref().map(|r| r.reason)
 }
 
 #[test]
-fn addresses_kept() {
+fn addresses_are_cached() {
     task::block_on(async {
         let log = Log::default();
-        let a = router("a", &log, answered).await;
-        let kept = client(guide(&log, &[a], 600_000).await);
+        let a = start_router("a", &log, answered).await;
+        let cached = client(start_address_router(&log, &[a], 600_000).await);
         for _ in 0..3 {
-            let answer = soon(kept.call(&call())).await;
+            let answer = with_timeout(cached.call(&call())).await;
             assert_eq!(answer.outcome, Outcome::Answered);
             assert_eq!((answer.status, answer.attempts), (Some(200), 1));
             assert_eq!(answer.body, b"done");
         }
-        assert_eq!(logged(&log), ["guide", "a -", "a -", "a -"]);
-        let fresh = client(guide(&log, &[a], 0).await);
-        soon(fresh.call(&call())).await;
-        // The last addresses are asked first, then those of the settings.
-        soon(fresh.call(&call())).await;
-        let asked = ["guide", "a -", "a where 0", "guide", "a -"];
-        assert_eq!(logged(&log), asked);
+        assert_eq!(take_log(&log), ["guide", "a -", "a -", "a -"]);
+        let uncached = client(start_address_router(&log, &[a], 0).await);
+        with_timeout(uncached.call(&call())).await;
+        // The cached addresses are tried first, then those of the settings.
+        with_timeout(uncached.call(&call())).await;
+        let expected = ["guide", "a -", "a where 0", "guide", "a -"];
+        assert_eq!(take_log(&log), expected);
     });
 }
 
 #[test]
-fn refusal_followed() {
+fn rejection_is_retried_elsewhere() {
     task::block_on(async {
         let log = Log::default();
-        let a = router("a", &log, leaving).await;
-        let b = router("b", &log, answered).await;
-        let answer = soon(client(guide(&log, &[a, b], 0).await).call(&call())).await;
+        let a = start_router("a", &log, leaving).await;
+        let b = start_router("b", &log, answered).await;
+        let answer =
+            with_timeout(client(start_address_router(&log, &[a, b], 0).await).call(&call())).await;
         assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 2));
-        assert_eq!(logged(&log), ["guide", "a -", "b -"]);
+        assert_eq!(take_log(&log), ["guide", "a -", "b -"]);
     });
 }
 
 #[test]
-fn refusal_final() {
-    // What may have run, and what every router would refuse, goes to no other router.
+fn final_rejection_is_not_retried() {
+    // A request that may have run, or that every router would reject, is not sent to another one.
     task::block_on(async {
         for reason in [
             Reason::AnswerLost,
@@ -224,44 +225,49 @@
             Reason::Expired,
         ] {
             let log = Log::default();
-            let a = router("a", &log, move |_| Refused::new(reason, "no").into()).await;
-            let b = router("b", &log, answered).await;
-            let answer = soon(client(guide(&log, &[a, b], 0).await).call(&call())).await;
-            assert_eq!(why(&answer), Some(reason));
+            let a = start_router("a", &log, move |_| Refused::new(reason, "no").into()).await;
+            let b = start_router("b", &log, answered).await;
+            let answer =
+                with_timeout(client(start_address_router(&log, &[a, b], 0).await).call(&call()))
+                    .await;
+            assert_eq!(reason_of(&answer), Some(reason));
             assert_eq!(answer.outcome, reason.outcome());
-            assert_eq!(logged(&log), ["guide", "a -"]);
+            assert_eq!(take_log(&log), ["guide", "a -"]);
         }
     });
 }
 
 #[test]
-fn router_down() {
+fn unreachable_router_is_skipped() {
     task::block_on(async {
         let log = Log::default();
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let down = listener.local_addr().unwrap();
         drop(listener);
-        let b = router("b", &log, answered).await;
-        let answer = soon(client(guide(&log, &[down, b], 0).await).call(&once())).await;
+        let b = start_router("b", &log, answered).await;
+        let answer = with_timeout(
+            client(start_address_router(&log, &[down, b], 0).await).call(&at_most_once_call()),
+        )
+        .await;
         assert_eq!(answer.outcome, Outcome::Answered);
-        let none = soon(client(down).call(&call())).await;
+        let none = with_timeout(client(down).call(&call())).await;
         assert_eq!(none.outcome, Outcome::NotRun);
-        assert_eq!(why(&none), Some(Reason::NoEndpoint));
+        assert_eq!(reason_of(&none), Some(Reason::NoEndpoint));
     });
 }
 
 #[test]
-fn tickets_few() {
-    // Tickets are asked for a few at a time, of the router that will run the request, and
-    // each is used once.
+fn tickets_are_fetched_in_batches() {
+    // Tickets are fetched in batches from the router that will run the request, and each is
+    // used once.
     task::block_on(async {
         let log = Log::default();
-        let a = router("a", &log, answered).await;
-        let client = client(guide(&log, &[a], 600_000).await);
+        let a = start_router("a", &log, answered).await;
+        let client = client(start_address_router(&log, &[a], 600_000).await);
         for _ in 0..3 {
-            soon(client.call(&once())).await;
+            with_timeout(client.call(&at_most_once_call())).await;
         }
-        let asked = [
+        let expected = [
             "guide",
             "a where 2",
             "a a.2.0",
@@ -269,22 +275,25 @@
             "a where 2",
             "a a.5.0",
         ];
-        assert_eq!(logged(&log), asked);
+        assert_eq!(take_log(&log), expected);
     });
 }
 
 #[test]
-fn ticket_renewed() {
-    // A refusal that is surely not run ends its ticket; the next router gives one of its own.
+fn ticket_replaced_after_rejection() {
+    // After a `not-run` rejection the ticket is dropped, and the next router issues a new one.
     task::block_on(async {
         let log = Log::default();
-        let a = router("a", &log, leaving).await;
-        let b = router("b", &log, answered).await;
-        let answer = soon(client(guide(&log, &[a, b], 0).await).call(&once())).await;
+        let a = start_router("a", &log, leaving).await;
+        let b = start_router("b", &log, answered).await;
+        let answer = with_timeout(
+            client(start_address_router(&log, &[a, b], 0).await).call(&at_most_once_call()),
+        )
+        .await;
         assert_eq!(answer.outcome, Outcome::Answered);
         assert_eq!(answer.ticket.as_deref(), Some("b.4.0"));
-        let asked = ["guide", "a where 2", "a a.2.0", "b where 2", "b b.4.0"];
-        assert_eq!(logged(&log), asked);
+        let expected = ["guide", "a where 2", "a a.2.0", "b where 2", "b b.4.0"];
+        assert_eq!(take_log(&log), expected);
     });
 }
 
@@ -292,100 +301,115 @@
     Refused::new(Reason::TicketOrphaned, "nobody remembers").into()
 }
 
-// A registrar's renewal "may have run" whenever routers are replaced, and she reissues it by
-// hand. Cause: her client kept tickets of a router that has restarted since, never used.
+// The client holds unused tickets of a router that has restarted. The request must not be
+// reported as "may have run", which would require manual action whenever routers are replaced.
 #[test]
 fn ticket_orphaned_unused() {
     task::block_on(async {
         let log = Log::default();
-        let a = router("a", &log, orphaned).await;
-        let b = router("b", &log, answered).await;
-        let client = client(guide(&log, &[a, b], 0).await);
-        let answer = soon(client.call(&once())).await;
+        let a = start_router("a", &log, orphaned).await;
+        let b = start_router("b", &log, answered).await;
+        let client = client(start_address_router(&log, &[a, b], 0).await);
+        let answer = with_timeout(client.call(&at_most_once_call())).await;
         assert_eq!(answer.outcome, Outcome::Answered);
         assert_eq!(answer.ticket.as_deref(), Some("b.4.0"));
-        // The other ticket of that router is not tried.
-        assert_eq!(soon(client.call(&once())).await.outcome, Outcome::Answered);
-        assert!(!logged(&log).contains(&"a a.2.1".to_owned()));
+        // The other ticket of that router is not used.
+        assert_eq!(
+            with_timeout(client.call(&at_most_once_call()))
+                .await
+                .outcome,
+            Outcome::Answered
+        );
+        assert!(!take_log(&log).contains(&"a a.2.1".to_owned()));
     });
 }
 
-// The first try under a ticket was lost, then its router was gone: it may have run.
+// The answer of the first attempt with the ticket was lost, and the ticket is orphaned: the
+// request may have run.
 #[test]
 fn ticket_orphaned_after_loss() {
     task::block_on(async {
         let log = Log::default();
-        let a = breaking(&log, "a", "").await;
-        let b = router("b", &log, orphaned).await;
-        let answer = soon(client(guide(&log, &[a, b], 0).await).call(&once())).await;
+        let a = start_breaking_router(&log, "a", "").await;
+        let b = start_router("b", &log, orphaned).await;
+        let answer = with_timeout(
+            client(start_address_router(&log, &[a, b], 0).await).call(&at_most_once_call()),
+        )
+        .await;
         assert_eq!(answer.outcome, Outcome::MayHaveRun);
     });
 }
 
 #[test]
 fn answer_lost() {
-    // The router dies after it took a renewal. The caller asks another router under the same
-    // ticket, so that it can't run twice.
+    // A router closes the connection after it received a request. The client sends the request
+    // to another router with the same ticket, so that it can't run twice.
     task::block_on(async {
         let short = "HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf";
         for bytes in ["", "HTTP/1.1 200 OK\r\ncont", short] {
             let log = Log::default();
-            let a = breaking(&log, "a", bytes).await;
-            let b = router("b", &log, answered).await;
-            let answer = soon(client(guide(&log, &[a, b], 0).await).call(&once())).await;
+            let a = start_breaking_router(&log, "a", bytes).await;
+            let b = start_router("b", &log, answered).await;
+            let answer = with_timeout(
+                client(start_address_router(&log, &[a, b], 0).await).call(&at_most_once_call()),
+            )
+            .await;
             assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 2));
             assert_eq!(answer.body, b"done");
-            assert_eq!(logged(&log), ["guide", "a a.t", "b a.t"]);
+            assert_eq!(take_log(&log), ["guide", "a a.t", "b a.t"]);
         }
     });
 }
 
 #[test]
 fn answer_lost_then_leaving() {
-    // The first router dies after it ran a renewal; the second refuses as "not run" because it
-    // is leaving. That speaks of its own try only. Taken for the whole, the caller would get a
-    // new ticket and the renewal would run twice.
+    // The first router fails after it ran the request; the second one is leaving and rejects
+    // with `not-run`, which refers to its own attempt only. If it were applied to the call, the
+    // client would use a new ticket and the request could run twice.
     task::block_on(async {
         let log = Log::default();
-        let a = breaking(&log, "a", "").await;
-        let b = router("b", &log, leaving).await;
+        let a = start_breaking_router(&log, "a", "").await;
+        let b = start_router("b", &log, leaving).await;
         let client = Client::new(ClientSettings {
             max_attempts: 2,
-            ..ClientSettings::new(vec![guide(&log, &[a, b], 0).await])
+            ..ClientSettings::new(vec![start_address_router(&log, &[a, b], 0).await])
         });
-        let answer = soon(client.call(&once())).await;
+        let answer = with_timeout(client.call(&at_most_once_call())).await;
         assert_eq!(answer.outcome, Outcome::MayHaveRun);
         assert_eq!(answer.ticket.as_deref(), Some("a.t"));
-        assert_eq!(logged(&log), ["guide", "a a.t", "b a.t"]);
+        assert_eq!(take_log(&log), ["guide", "a a.t", "b a.t"]);
     });
 }
 
 #[test]
-fn answer_lost_then_settled() {
-    // The second router learnt the ticket's outcome from the first: that settles all tries.
+fn answer_lost_then_outcome_known() {
+    // The second router knows the outcome of the ticket, which covers all attempts.
     task::block_on(async {
         let log = Log::default();
-        let a = breaking(&log, "a", "").await;
+        let a = start_breaking_router(&log, "a", "").await;
         let used =
             Refused::new(Reason::TicketUsed, "its answer is gone").outcome(Outcome::Answered);
-        let b = router("b", &log, move |_| used.clone().into()).await;
-        let answer = soon(client(guide(&log, &[a, b], 0).await).call(&once())).await;
+        let b = start_router("b", &log, move |_| used.clone().into()).await;
+        let answer = with_timeout(
+            client(start_address_router(&log, &[a, b], 0).await).call(&at_most_once_call()),
+        )
+        .await;
         assert_eq!(answer.outcome, Outcome::Answered);
-        assert_eq!(why(&answer), Some(Reason::TicketUsed));
-        assert_eq!(logged(&log), ["guide", "a a.t", "b a.t"]);
+        assert_eq!(reason_of(&answer), Some(Reason::TicketUsed));
+        assert_eq!(take_log(&log), ["guide", "a a.t", "b a.t"]);
     });
 }
 
 #[test]
 fn answer_lost_still_runs() {
-    // The connection broke while a renewal runs. The other router says that it runs and when
-    // to come back; the caller does, and gets the answer without a second run.
+    // The connection fails while the request runs. The other router responds that it is still
+    // running and when to retry; the client polls and gets the answer without a second run.
     task::block_on(async {
         let log = Log::default();
-        let a = breaking(&log, "a", "").await;
-        let asked = Arc::new(AtomicUsize::new(0));
-        let b = router("b", &log, move |request| {
-            match asked.fetch_add(1, Ordering::SeqCst) {
+        let a = start_breaking_router(&log, "a", "").await;
+        let request_count = Arc::new(AtomicUsize::new(0));
+        let b = start_router("b", &log, move |request| {
+            match request_count.fetch_add(1, Ordering::SeqCst) {
                 0 | 1 => Refused::new(Reason::TicketRunning, "ask again")
                     .retry_after(Duration::from_millis(1))
                     .into(),
@@ -393,16 +417,22 @@
             }
         })
         .await;
-        let answer = soon(client(guide(&log, &[a, b], 0).await).call(&once())).await;
+        let answer = with_timeout(
+            client(start_address_router(&log, &[a, b], 0).await).call(&at_most_once_call()),
+        )
+        .await;
         assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 2));
-        assert_eq!(logged(&log), ["guide", "a a.t", "b a.t", "b a.t", "b a.t"]);
+        assert_eq!(
+            take_log(&log),
+            ["guide", "a a.t", "b a.t", "b a.t", "b a.t"]
+        );
     });
 }
 
 #[test]
-fn connection_stale() {
-    // A router was restarted and closed the kept connections. A call on one of them would be
-    // lost; it goes on a new one.
+fn connection_closed_by_router() {
+    // A router has closed its idle connections. A call on one of them would be lost, so the
+    // client opens a new one.
     task::block_on(async {
         let log = Log::default();
         let idle = Limits {
@@ -410,15 +440,15 @@
             ..Limits::default()
         };
         let (server, a) = start(idle, common::echo).await;
-        let client = client(guide(&log, &[a], 600_000).await);
-        soon(client.call(&call())).await;
-        soon(async {
+        let client = client(start_address_router(&log, &[a], 600_000).await);
+        with_timeout(client.call(&call())).await;
+        with_timeout(async {
             while server.connections() > 0 {
                 task::sleep(Duration::from_millis(1)).await;
             }
         })
         .await;
-        let answer = soon(client.call(&call())).await;
+        let answer = with_timeout(client.call(&call())).await;
         assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 1));
         assert_eq!(answer.body, b"hello");
     });
@@ -426,31 +456,31 @@
 
 #[test]
 fn connection_silent() {
-    // Something between caller and router forgets the connection: nothing comes and nothing
-    // ends. The caller asks again elsewhere while there is time left.
+    // A device on the path has dropped the connection, so it delivers neither data nor an error.
+    // The client tries another router before the deadline.
     task::block_on(async {
         let log = Log::default();
         let silent = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let a = silent.local_addr().unwrap();
-        let b = router("b", &log, answered).await;
+        let b = start_router("b", &log, answered).await;
         let client = Client::new(ClientSettings {
             idle_timeout: Duration::from_millis(300),
-            ..ClientSettings::new(vec![guide(&log, &[a, b], 0).await])
+            ..ClientSettings::new(vec![start_address_router(&log, &[a, b], 0).await])
         });
-        let answer = soon(client.call(&call())).await;
+        let answer = with_timeout(client.call(&call())).await;
         assert_eq!((answer.outcome, answer.attempts), (Outcome::Answered, 2));
     });
 }
 
 #[test]
-fn stream_whole() {
+fn stream_complete() {
     task::block_on(async {
         let log = Log::default();
-        let a = router("a", &log, |_| pieces(&["a", "b"], Piece::End)).await;
-        let client = client(guide(&log, &[a], 0).await);
+        let a = start_router("a", &log, |_| pieces(&["a", "b"], Piece::End)).await;
+        let client = client(start_address_router(&log, &[a], 0).await);
         let mut seen = Vec::new();
         let mut take = |bytes: &[u8]| seen.extend_from_slice(bytes);
-        let answer = soon(client.call_streamed(&call(), &mut take)).await;
+        let answer = with_timeout(client.call_streamed(&call(), &mut take)).await;
         assert_eq!(answer.outcome, Outcome::Answered);
         assert_eq!(
             (seen.as_slice(), answer.body.as_slice()),
@@ -460,9 +490,9 @@
 }
 
 #[test]
-fn stream_cut() {
-    // A stream is cut after its first piece was passed on. It is not asked for again: the
-    // pieces of two answers can't be joined. Its last event tells what is known.
+fn stream_aborted() {
+    // A stream is aborted after its first chunk was passed on. The call is not retried, because
+    // the chunks of two answers can't be combined. The last event gives the outcome.
     task::block_on(async {
         let fail = || Piece::Fail(Refused::new(Reason::EndpointFailed, "out of memory"));
         for (part, reason, outcome) in [
@@ -470,20 +500,23 @@
             ("data: a", Reason::AnswerLost, Outcome::MayHaveRun),
         ] {
             let log = Log::default();
-            let a = router("a", &log, move |_| pieces(&[part], fail())).await;
-            let b = router("b", &log, answered).await;
-            let client = client(guide(&log, &[a, b], 0).await);
-            let answer = soon(client.call_streamed(&call(), &mut |_| {})).await;
-            assert_eq!((why(&answer), answer.outcome), (Some(reason), outcome));
-            assert_eq!(logged(&log), ["guide", "a -"]);
+            let a = start_router("a", &log, move |_| pieces(&[part], fail())).await;
+            let b = start_router("b", &log, answered).await;
+            let client = client(start_address_router(&log, &[a, b], 0).await);
+            let answer = with_timeout(client.call_streamed(&call(), &mut |_| {})).await;
+            assert_eq!(
+                (reason_of(&answer), answer.outcome),
+                (Some(reason), outcome)
+            );
+            assert_eq!(take_log(&log), ["guide", "a -"]);
         }
     });
 }
 
 #[test]
-fn stream_end_pieces() {
-    // The last line end of a stream arrives alone. The library's decoder would wait for it
-    // without asking to be woken, and the call would hang though its answer is whole.
+fn stream_end_in_several_reads() {
+    // The last line end of a stream arrives alone. The library's decoder then returns Pending
+    // without registering a waker, and the call would hang although its answer has arrived.
     task::block_on(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let a = listener.local_addr().unwrap();
@@ -500,10 +533,10 @@
         let client = Client::new(ClientSettings {
             idle_timeout: Duration::from_secs(600),
             timeout: Duration::from_secs(600),
-            ..ClientSettings::new(vec![guide(&Log::default(), &[a], 0).await])
+            ..ClientSettings::new(vec![start_address_router(&Log::default(), &[a], 0).await])
         });
-        // In a task of its own: the bound on waiting would wake the call up.
-        let answer = soon(task::spawn(async move { client.call(&call()).await })).await;
+        // Runs in a separate task, because the timeout would poll the call again.
+        let answer = with_timeout(task::spawn(async move { client.call(&call()).await })).await;
         assert_eq!(answer.body, b"ok");
     });
 }
--- a/crates/callers/tests/client_body.rs
+++ b/crates/callers/tests/client_body.rs
@@ -1,4 +1,4 @@
-//! The client's requests reach the router whole.
+//! The client's requests reach the router with their bodies.
 
 mod common;
 
@@ -15,8 +15,8 @@
     },
     common::{
         echo,
-        soon,
         start, //
+        with_timeout,
     },
     policy::Outcome,
     std::{
@@ -27,9 +27,9 @@
 
 static ADDRESS: OnceLock<SocketAddr> = OnceLock::new();
 
-async fn router(ask: IncomingRequest) -> Response {
-    let IncomingRequest::Addresses { .. } = &ask else {
-        return echo(ask).await;
+async fn router(request: IncomingRequest) -> Response {
+    let IncomingRequest::Addresses { .. } = &request else {
+        return echo(request).await;
     };
     let address = callers::Address {
         router: "r1".parse().unwrap(),
@@ -48,9 +48,8 @@
 
 #[test]
 fn call_with_body() {
-    // An underwriter's request comes back answered, with the text for an empty prompt.
-    // The client sent the head of the request and lost its body: it encoded a copy of the
-    // HTTP library's request, and such a copy has no body.
+    // A clone of the HTTP library's request has no body. A client that encodes a clone sends
+    // the head only, and the endpoint answers an empty prompt.
     task::block_on(async {
         let (_server, address) = start(Limits::default(), router).await;
         ADDRESS.set(address).unwrap();
@@ -62,7 +61,7 @@
             "/v1/x",
             b"draft a renewal".to_vec(),
         );
-        let answer = soon(client.call(&call)).await;
+        let answer = with_timeout(client.call(&call)).await;
         assert_eq!(answer.outcome, Outcome::Answered);
         assert_eq!(String::from_utf8(answer.body).unwrap(), "draft a renewal");
     });
--- a/crates/callers/tests/common/mod.rs
+++ b/crates/callers/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers of the tests: a server on loopback and a raw connection to it.
-#![allow(dead_code, reason = "each test file uses a part of this")]
+//! Test helpers: a server on loopback and a raw connection to it.
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 use {
     async_std::{
@@ -28,8 +28,8 @@
     },
 };
 
-/// Far above what any step takes, so that only a hang fails a test.
-const HANG: Duration = Duration::from_secs(30);
+/// Far longer than any step takes, so that only a hang exceeds it.
+const HANG_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub const HEAD: &str = "POST /v1/x?a=1 HTTP/1.1\r\nhost: r\r\nchervilwind-service: desk\r\n\
     chervilwind-workspace: abbey\r\nchervilwind-profile: usual\r\n";
@@ -48,9 +48,9 @@
     (server, address)
 }
 
-/// Answers with the body, and the request's parts as headers.
-pub async fn echo(ask: IncomingRequest) -> Response {
-    match ask {
+/// Responds with the request's body, and with its other parts as headers.
+pub async fn echo(request: IncomingRequest) -> Response {
+    match request {
         IncomingRequest::Request { request, .. } => {
             Response::complete(200, Outcome::Answered, request.body.clone())
                 .header("x-service", request.service.to_string())
@@ -66,36 +66,36 @@
     }
 }
 
-/// Waits for something that must happen.
-pub async fn soon<T>(work: impl Future<Output = T>) -> T {
-    timeout(HANG, work).await.expect("it never happened")
+/// Awaits `work`, and panics if it hangs.
+pub async fn with_timeout<T>(work: impl Future<Output = T>) -> T {
+    timeout(HANG_TIMEOUT, work).await.expect("timed out")
 }
 
-/// A connection on which a test writes bytes of its own.
-pub struct Raw(pub TcpStream);
+/// A connection on which a test sends arbitrary bytes.
+pub struct RawConnection(pub TcpStream);
 
-impl Raw {
-    pub async fn connect(address: SocketAddr) -> Raw {
-        Raw(TcpStream::connect(address).await.unwrap())
+impl RawConnection {
+    pub async fn connect(address: SocketAddr) -> RawConnection {
+        RawConnection(TcpStream::connect(address).await.unwrap())
     }
 
     pub async fn send(&mut self, text: impl AsRef<[u8]>) {
         self.0.write_all(text.as_ref()).await.unwrap();
     }
 
-    /// Reads until the router closes.
-    pub async fn rest(&mut self) -> String {
+    /// Reads until the server closes the connection.
+    pub async fn read_to_end(&mut self) -> String {
         let mut bytes = Vec::new();
-        let _ = soon(self.0.read_to_end(&mut bytes)).await;
+        let _ = with_timeout(self.0.read_to_end(&mut bytes)).await;
         String::from_utf8(bytes).unwrap()
     }
 
-    /// Reads until the text read ends as given.
-    pub async fn until(&mut self, end: &str) -> String {
+    /// Reads until the received text ends with `end`.
+    pub async fn read_until(&mut self, end: &str) -> String {
         let mut bytes = Vec::new();
         while !bytes.ends_with(end.as_bytes()) {
             let mut byte = [0];
-            let n = soon(self.0.read(&mut byte)).await.unwrap();
+            let n = with_timeout(self.0.read(&mut byte)).await.unwrap();
             assert_eq!(n, 1, "closed after {:?}", String::from_utf8_lossy(&bytes));
             bytes.push(byte[0]);
         }
@@ -103,15 +103,15 @@
     }
 }
 
-/// Sends bytes on a connection of its own and reads until the router closes it.
-pub async fn tell(address: SocketAddr, text: impl AsRef<[u8]>) -> String {
-    let mut raw = Raw::connect(address).await;
+/// Sends bytes on a new connection and reads until the server closes it.
+pub async fn send_raw(address: SocketAddr, text: impl AsRef<[u8]>) -> String {
+    let mut raw = RawConnection::connect(address).await;
     raw.send(text).await;
-    raw.rest().await
+    raw.read_to_end().await
 }
 
-/// Proves that other callers are served as ever.
-pub async fn serves(address: SocketAddr) {
-    let text = tell(address, format!("{HEAD}connection: close\r\n\r\n")).await;
+/// Asserts that a request on a new connection is served.
+pub async fn assert_serves(address: SocketAddr) {
+    let text = send_raw(address, format!("{HEAD}connection: close\r\n\r\n")).await;
     assert!(text.starts_with("HTTP/1.1 200 OK"), "{text}");
 }
--- a/crates/callers/tests/hang_up.rs
+++ b/crates/callers/tests/hang_up.rs
@@ -1,4 +1,4 @@
-//! Callers that go away, or that stop reading.
+//! Callers that disconnect or stop reading.
 
 mod common;
 
@@ -21,9 +21,9 @@
     },
     common::{
         echo,
-        soon,
         start,
-        Raw,
+        with_timeout,
+        RawConnection,
         HEAD, //
     },
     policy::Outcome,
@@ -36,16 +36,16 @@
     },
 };
 
-/// Starts a server whose requests last until their caller is gone, which is then reported.
-async fn patient() -> (Server, SocketAddr, Receiver<&'static str>) {
-    let (say, heard) = bounded(8);
-    let (server, address) = start(Limits::default(), move |ask| {
-        let say = say.clone();
+/// Starts a server whose requests run until their caller disconnects, and reports both events.
+async fn start_waiting() -> (Server, SocketAddr, Receiver<&'static str>) {
+    let (sender, events) = bounded(8);
+    let (server, address) = start(Limits::default(), move |request| {
+        let sender = sender.clone();
         async move {
             let IncomingRequest::Request {
                 request,
                 disconnect,
-            } = ask
+            } = request
             else {
                 panic!("no address was asked for");
             };
@@ -56,18 +56,18 @@
                 })
                 .await;
             }
-            say.send("began").await.unwrap();
+            sender.send("began").await.unwrap();
             disconnect.wait().await;
-            say.send("gone").await.unwrap();
+            sender.send("gone").await.unwrap();
             Response::complete(200, Outcome::Answered, Vec::new())
         }
     })
     .await;
-    (server, address, heard)
+    (server, address, events)
 }
 
-async fn ended(server: &Server) {
-    soon(async {
+async fn connections_closed(server: &Server) {
+    with_timeout(async {
         while server.connections() > 0 {
             task::sleep(Duration::from_millis(1)).await;
         }
@@ -76,100 +76,100 @@
 }
 
 #[test]
-fn hang_up_waiting() {
-    // A caller gives up while its request is queued or runs. Without a watch on the socket the
-    // router finds out only when it writes, and the endpoint works for nobody until then.
+fn hang_up_while_request_runs() {
+    // A caller disconnects while its request is queued or running. If the socket were not read
+    // meanwhile, the router would detect this only when writing, and the endpoint would keep
+    // working on a request that nobody waits for.
     task::block_on(async {
-        let (server, address, heard) = patient().await;
-        let mut raw = Raw::connect(address).await;
+        let (server, address, events) = start_waiting().await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(format!("{HEAD}\r\n")).await;
-        assert_eq!(soon(heard.recv()).await, Ok("began"));
+        assert_eq!(with_timeout(events.recv()).await, Ok("began"));
         drop(raw);
-        assert_eq!(soon(heard.recv()).await, Ok("gone"));
-        ended(&server).await;
+        assert_eq!(with_timeout(events.recv()).await, Ok("gone"));
+        connections_closed(&server).await;
     });
 }
 
 #[test]
-fn hang_up_half() {
-    // A caller that closes only its own direction counts as gone too: it can't be told from
-    // one that closed both before something is written to it.
+fn hang_up_half_closed() {
+    // A half-closed connection counts as a disconnect, because it can't be distinguished from
+    // a fully closed one until something is written.
     task::block_on(async {
-        let (_server, address, heard) = patient().await;
-        let mut raw = Raw::connect(address).await;
+        let (_server, address, events) = start_waiting().await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(format!("{HEAD}\r\n")).await;
-        assert_eq!(soon(heard.recv()).await, Ok("began"));
+        assert_eq!(with_timeout(events.recv()).await, Ok("began"));
         raw.0.shutdown(Shutdown::Write).unwrap();
-        assert_eq!(soon(heard.recv()).await, Ok("gone"));
-        assert_eq!(raw.rest().await, "");
+        assert_eq!(with_timeout(events.recv()).await, Ok("gone"));
+        assert_eq!(raw.read_to_end().await, "");
     });
 }
 
 #[test]
-fn hang_up_early_next() {
-    // The caller had already sent its next request when it hung up. The bytes that wait must
-    // not hide the hang-up.
+fn hang_up_with_pipelined_request() {
+    // Buffered bytes of a pipelined request must not hide the disconnect.
     task::block_on(async {
-        let (_server, address, heard) = patient().await;
-        let mut raw = Raw::connect(address).await;
+        let (_server, address, events) = start_waiting().await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(format!("{HEAD}\r\n{HEAD}\r\n")).await;
-        assert_eq!(soon(heard.recv()).await, Ok("began"));
+        assert_eq!(with_timeout(events.recv()).await, Ok("began"));
         drop(raw);
-        assert_eq!(soon(heard.recv()).await, Ok("gone"));
+        assert_eq!(with_timeout(events.recv()).await, Ok("gone"));
     });
 }
 
 #[test]
-fn hang_up_sending() {
-    // A caller hangs up in the middle of its head, and another in the middle of its body. The
-    // handler never sees either, and the body so far is not taken for the whole.
+fn hang_up_while_sending() {
+    // Callers disconnect within the head and within the body. The handler must not be called,
+    // and a partial body must not be treated as complete.
     task::block_on(async {
-        let (server, address, heard) = patient().await;
+        let (server, address, events) = start_waiting().await;
         let body = format!("{HEAD}content-length: 9\r\n\r\nabc");
         let chunk = format!("{HEAD}transfer-encoding: chunked\r\n\r\n9\r\nabc");
         for text in [HEAD, &body, &chunk] {
-            let mut raw = Raw::connect(address).await;
+            let mut raw = RawConnection::connect(address).await;
             raw.send(text).await;
             raw.0.shutdown(Shutdown::Write).unwrap();
-            assert_eq!(raw.rest().await, "");
+            assert_eq!(raw.read_to_end().await, "");
         }
-        ended(&server).await;
-        assert!(heard.is_empty());
+        connections_closed(&server).await;
+        assert!(events.is_empty());
     });
 }
 
 #[test]
-fn hang_up_kept() {
-    // A caller hangs up on a kept connection, after an answer. The next one is served.
+fn hang_up_after_response() {
+    // A caller disconnects after a response. The next caller is served.
     task::block_on(async {
-        let (server, address, _heard) = patient().await;
+        let (server, address, _events) = start_waiting().await;
         let quick = format!("{HEAD}content-length: 5\r\n\r\nquick");
         for _ in 0..2 {
-            let mut raw = Raw::connect(address).await;
+            let mut raw = RawConnection::connect(address).await;
             raw.send(&quick).await;
-            raw.until("quick").await;
+            raw.read_until("quick").await;
             drop(raw);
-            ended(&server).await;
+            connections_closed(&server).await;
         }
     });
 }
 
-/// Starts a server that streams from a channel, and reports each request's signal.
-async fn streaming(
+/// Starts a server that streams from a channel, and passes the channel and the signal to the test.
+async fn start_streaming(
     limits: Limits,
 ) -> (
     Server,
     SocketAddr,
     Receiver<(Sender<Piece>, DisconnectSignal)>,
 ) {
-    let (say, heard) = bounded(8);
-    let (server, address) = start(limits, move |ask| {
-        let say = say.clone();
+    let (sender, events) = bounded(8);
+    let (server, address) = start(limits, move |request| {
+        let sender = sender.clone();
         async move {
             let IncomingRequest::Request {
                 disconnect,
                 request,
-            } = ask
+            } = request
             else {
                 panic!("no address was asked for");
             };
@@ -181,74 +181,75 @@
                 .await;
             }
             let (send, pieces) = bounded(1);
-            say.send((send, disconnect)).await.unwrap();
+            sender.send((send, disconnect)).await.unwrap();
             Response::stream(200, pieces)
         }
     })
     .await;
-    (server, address, heard)
+    (server, address, events)
 }
 
 #[test]
-fn hang_up_streaming() {
-    // A caller hangs up between two tokens. Both ways to find out work at once: the signal
-    // fires, and the channel of pieces is closed.
+fn hang_up_during_stream() {
+    // A caller disconnects between two pieces. The signal fires, and the channel of pieces is
+    // closed.
     task::block_on(async {
-        let (server, address, heard) = streaming(Limits::default()).await;
-        let mut raw = Raw::connect(address).await;
+        let (server, address, events) = start_streaming(Limits::default()).await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(format!("{HEAD}\r\n")).await;
-        let (send, disconnect) = soon(heard.recv()).await.unwrap();
-        send.send(Piece::Data(b"one".to_vec())).await.unwrap();
-        raw.until("one\r\n").await;
+        let (pieces, disconnect) = with_timeout(events.recv()).await.unwrap();
+        pieces.send(Piece::Data(b"one".to_vec())).await.unwrap();
+        raw.read_until("one\r\n").await;
         drop(raw);
-        soon(disconnect.wait()).await;
-        soon(async { while send.send(Piece::Data(b"two".to_vec())).await.is_ok() {} }).await;
-        ended(&server).await;
+        with_timeout(disconnect.wait()).await;
+        with_timeout(async { while pieces.send(Piece::Data(b"two".to_vec())).await.is_ok() {} })
+            .await;
+        connections_closed(&server).await;
     });
 }
 
 #[test]
-fn reading_stopped() {
-    // A caller stops reading its stream but keeps the connection. What waits for it is bounded
-    // by one piece and the socket's buffers; after the stall bound it is cut, and others are
-    // served meanwhile.
+fn stalled_reader_is_disconnected() {
+    // A caller stops reading its stream but keeps the connection open. The buffered data is
+    // bounded by one piece and the socket buffers, and the connection is closed after the stall
+    // timeout.
     task::block_on(async {
         let limits = Limits {
             stall_timeout: Duration::from_millis(300),
             ..Limits::default()
         };
-        let (server, address, heard) = streaming(limits).await;
-        let mut raw = Raw::connect(address).await;
+        let (server, address, events) = start_streaming(limits).await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(format!("{HEAD}\r\n")).await;
-        let (send, disconnect) = soon(heard.recv()).await.unwrap();
+        let (pieces, disconnect) = with_timeout(events.recv()).await.unwrap();
         let piece = 64 * 1024;
         let mut sent = 0;
-        soon(async {
-            while send.send(Piece::Data(vec![b'a'; piece])).await.is_ok() {
+        with_timeout(async {
+            while pieces.send(Piece::Data(vec![b'a'; piece])).await.is_ok() {
                 sent += piece;
             }
         })
         .await;
         assert!(sent < 64 * 1024 * 1024, "buffered without bound: {sent}");
-        soon(disconnect.wait()).await;
-        ended(&server).await;
+        with_timeout(disconnect.wait()).await;
+        connections_closed(&server).await;
         drop(raw);
     });
 }
 
 #[test]
-fn reading_stopped_others() {
+fn waiting_requests_do_not_block_others() {
     task::block_on(async {
-        let (_server, address, _heard) = patient().await;
+        let (_server, address, _events) = start_waiting().await;
         let mut stuck = Vec::new();
         for _ in 0..8 {
-            let mut raw = Raw::connect(address).await;
+            let mut raw = RawConnection::connect(address).await;
             raw.send(format!("{HEAD}\r\n")).await;
             stuck.push(raw);
         }
         let quick = format!("{HEAD}content-length: 5\r\n\r\nquick");
-        let mut raw = Raw::connect(address).await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(quick).await;
-        raw.until("quick").await;
+        raw.read_until("quick").await;
     });
 }
--- a/crates/callers/tests/server.rs
+++ b/crates/callers/tests/server.rs
@@ -1,4 +1,4 @@
-//! The server: requests, streams, refusals and its end.
+//! The server: requests, streams, rejections and shutdown.
 
 mod common;
 
@@ -18,12 +18,12 @@
         Server,
     },
     common::{
+        assert_serves,
         echo,
-        serves,
-        soon,
+        send_raw,
         start,
-        tell,
-        Raw,
+        with_timeout,
+        RawConnection,
         HEAD, //
     },
     futures_lite::future::poll_once,
@@ -32,14 +32,14 @@
 };
 
 #[test]
-fn request_plain() {
+fn request_keeps_connection() {
     task::block_on(async {
         let (_server, address) = start(Limits::default(), echo).await;
-        let mut raw = Raw::connect(address).await;
+        let mut raw = RawConnection::connect(address).await;
         let extra = "chervilwind-request-id: r-7\r\nchervilwind-ticket: a.1.2\r\n\
             chervilwind-deadline-ms: 5000\r\ncontent-length: 5\r\n\r\nhello";
         raw.send(format!("{HEAD}{extra}")).await;
-        let text = raw.until("hello").await;
+        let text = raw.read_until("hello").await;
         for part in [
             "HTTP/1.1 200 OK\r\n",
             "content-length: 5\r\n",
@@ -52,10 +52,10 @@
         ] {
             assert!(text.contains(part), "no {part:?} in {text}");
         }
-        // The connection is kept.
+        // The connection stays open.
         raw.send(format!("{HEAD}content-length: 5\r\n\r\nagain"))
             .await;
-        raw.until("again").await;
+        raw.read_until("again").await;
     });
 }
 
@@ -64,7 +64,7 @@
     task::block_on(async {
         let (_server, address) = start(Limits::default(), echo).await;
         let body = "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-        let text = tell(
+        let text = send_raw(
             address,
             format!("{HEAD}transfer-encoding: chunked\r\n\r\n{body}"),
         )
@@ -75,58 +75,58 @@
 }
 
 #[test]
-fn request_chunked_pieces() {
-    // A caller's chunked body comes in pieces, the last line end of it alone. The library
-    // reads on from there without asking to be woken, so the request hung until the body's
-    // time was up although it was all there.
+fn request_chunked_in_several_reads() {
+    // The last line end of a chunked body arrives alone. The library's decoder then returns
+    // Pending without registering a waker, and the request would hang until the body timeout
+    // although its body has arrived.
     task::block_on(async {
         let long = Limits {
             body_timeout: Duration::from_secs(600),
             ..Limits::default()
         };
         let (_server, address) = start(long, echo).await;
-        let mut raw = Raw::connect(address).await;
+        let mut raw = RawConnection::connect(address).await;
         let head = format!("{HEAD}transfer-encoding: chunked\r\n\r\n");
         for piece in [&head, "3\r\nabc", "\r\n0\r\n", "\r", "\n"] {
             raw.send(piece).await;
             task::sleep(Duration::from_millis(20)).await;
         }
-        raw.until("\r\n\r\nabc").await;
+        raw.read_until("\r\n\r\nabc").await;
     });
 }
 
 #[test]
 fn request_pipelined() {
-    // A caller sends two requests in one go. Both are answered, in order: the second must not
-    // be lost with the buffer in which the HTTP library read the first.
+    // Two pipelined requests are answered in order. The second must not be lost with the buffer
+    // into which the HTTP library read the first.
     task::block_on(async {
         let (_server, address) = start(Limits::default(), echo).await;
         let one = format!("{HEAD}content-length: 3\r\n\r\none");
         let two = format!("{HEAD}connection: close\r\ncontent-length: 3\r\n\r\ntwo");
-        let text = tell(address, one + &two).await;
+        let text = send_raw(address, one + &two).await;
         assert_eq!(text.matches("HTTP/1.1 200 OK").count(), 2, "{text}");
         assert!(text.find("one").unwrap() < text.find("two").unwrap());
     });
 }
 
 #[test]
-fn where_query() {
+fn address_query() {
     task::block_on(async {
         let (_server, address) = start(Limits::default(), echo).await;
         let get = "GET /chervilwind/where?service=desk&tickets=3 HTTP/1.1\r\n\
             host: r\r\nconnection: close\r\n\r\n";
-        let text = tell(address, get).await;
+        let text = send_raw(address, get).await;
         assert!(text.contains("x-service: desk\r\n"), "{text}");
         assert!(text.contains("x-tickets: 3\r\n"), "{text}");
         let none = "GET /chervilwind/where HTTP/1.1\r\nhost: r\r\n\r\n";
-        let text = tell(address, none).await;
+        let text = send_raw(address, none).await;
         assert!(text.starts_with("HTTP/1.1 400 "), "{text}");
         assert!(text.contains("?service=NAME"), "{text}");
     });
 }
 
 #[test]
-fn refusal_headers() {
+fn rejection_headers() {
     task::block_on(async {
         let (_server, address) = start(Limits::default(), |_| async {
             Refused::new(Reason::QueueFull, "come back later")
@@ -134,7 +134,7 @@
                 .into()
         })
         .await;
-        let text = tell(address, format!("{HEAD}connection: close\r\n\r\n")).await;
+        let text = send_raw(address, format!("{HEAD}connection: close\r\n\r\n")).await;
         for part in [
             "HTTP/1.1 429 ",
             "chervilwind-outcome: not-run\r\n",
@@ -156,49 +156,54 @@
             async move { Response::stream(200, pieces).header("content-type", "text/event-stream") }
         })
         .await;
-        let mut raw = Raw::connect(address).await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(format!("{HEAD}connection: close\r\n\r\n")).await;
-        let head = raw.until("\r\n\r\n").await;
+        let head = raw.read_until("\r\n\r\n").await;
         assert!(head.contains("chervilwind-outcome: at-end\r\n"), "{head}");
         assert!(
             head.contains("content-type: text/event-stream\r\n"),
             "{head}"
         );
-        // Each piece arrives before the next one is made.
+        // Each piece arrives before the next one is sent.
         for text in ["data: a\n\n", "data: b\n\n"] {
-            soon(send.send(Piece::Data(text.into()))).await.unwrap();
-            assert_eq!(raw.until("\n\n\r\n").await, format!("9\r\n{text}\r\n"));
+            with_timeout(send.send(Piece::Data(text.into())))
+                .await
+                .unwrap();
+            assert_eq!(raw.read_until("\n\n\r\n").await, format!("9\r\n{text}\r\n"));
         }
-        soon(send.send(Piece::End)).await.unwrap();
-        assert_eq!(raw.rest().await, "0\r\n\r\n");
+        with_timeout(send.send(Piece::End)).await.unwrap();
+        assert_eq!(raw.read_to_end().await, "0\r\n\r\n");
     });
 }
 
 #[test]
-fn stream_cut() {
-    // An endpoint dies in the middle of an answer. The caller must not take the half for the
-    // whole: it gets an error event, and the connection ends without the last chunk.
+fn stream_aborted() {
+    // An endpoint fails during an answer. The caller must not mistake the partial answer for a
+    // complete one: it gets an error event, and the connection ends without the last chunk.
     task::block_on(async {
         let refused = Refused::new(Reason::AnswerLost, "cut");
-        let event = cut("text/event-stream", "data: a\n\n", Some(refused.clone())).await;
+        let event = abort_stream("text/event-stream", "data: a\n\n", Some(refused.clone())).await;
         assert!(
             event.contains("event: error\ndata: {\"outcome\":\"may-have-run\""),
             "{event}"
         );
-        // In the middle of an event an error event would join it, so there is none.
-        let inside = cut("text/event-stream", "data: a", Some(refused.clone())).await;
+        // Within an event, an error event would be parsed as a part of it, so none is sent.
+        let inside = abort_stream("text/event-stream", "data: a", Some(refused.clone())).await;
         assert!(!inside.contains("event: error"), "{inside}");
-        let plain = cut("text/plain", "half", Some(refused)).await;
+        let plain = abort_stream("text/plain", "half", Some(refused)).await;
         assert!(plain.ends_with("half\r\n"), "{plain}");
-        // A handler that dies sends nothing more.
-        let dead = cut("text/plain", "half", None).await;
+        // The handler drops the channel without `Piece::End`.
+        let dead = abort_stream("text/plain", "half", None).await;
         for text in [event, inside, plain, dead] {
-            assert!(!text.contains("0\r\n\r\n"), "a clean end: {text}");
+            assert!(
+                !text.contains("0\r\n\r\n"),
+                "ends with the last chunk: {text}"
+            );
         }
     });
 }
 
-async fn cut(kind: &'static str, data: &'static str, end: Option<Refused>) -> String {
+async fn abort_stream(kind: &'static str, data: &'static str, end: Option<Refused>) -> String {
     let (_server, address) = start(Limits::default(), move |_| {
         let (send, pieces) = bounded(2);
         send.try_send(Piece::Data(data.into())).unwrap();
@@ -208,36 +213,36 @@
         async move { Response::stream(200, pieces).header("content-type", kind) }
     })
     .await;
-    tell(address, format!("{HEAD}\r\n")).await
+    send_raw(address, format!("{HEAD}\r\n")).await
 }
 
 #[test]
 fn handler_panics() {
-    // A fault in the router's own code hits one request. Its caller is told so, and others
-    // are served.
+    // A panic of the handler affects one request: its caller gets status 500, and others are
+    // served.
     task::block_on(async {
-        let (_server, address) = start(Limits::default(), |ask| async {
-            if matches!(&ask, IncomingRequest::Request { request, .. } if request.body == b"bad") {
-                panic!("a fault of the test's making");
+        let (_server, address) = start(Limits::default(), |req| async {
+            if matches!(&req, IncomingRequest::Request { request, .. } if request.body == b"bad") {
+                panic!("panic of the test");
             }
-            echo(ask).await
+            echo(req).await
         })
         .await;
         let bad = format!("{HEAD}connection: close\r\ncontent-length: 3\r\n\r\nbad");
-        let text = tell(address, bad).await;
+        let text = send_raw(address, bad).await;
         assert!(text.starts_with("HTTP/1.1 500 "), "{text}");
         assert!(
             text.contains("chervilwind-outcome: may-have-run\r\n"),
             "{text}"
         );
-        serves(address).await;
+        assert_serves(address).await;
     });
 }
 
 #[test]
-fn response_header_split() {
-    // An endpoint's header holds a line break. Written as it is, it would split the answer in
-    // two and the caller would read another's. It is left out.
+fn response_header_injection() {
+    // A line break in an endpoint's header would allow response splitting if it were written
+    // unchanged. Such a header is dropped.
     task::block_on(async {
         let (_server, address) = start(Limits::default(), |_| async {
             Response::complete(200, Outcome::Answered, Vec::new())
@@ -246,68 +251,68 @@
                 .header("x-c", "3")
         })
         .await;
-        let text = tell(address, format!("{HEAD}connection: close\r\n\r\n")).await;
+        let text = send_raw(address, format!("{HEAD}connection: close\r\n\r\n")).await;
         assert!(!text.contains("x-evil") && !text.contains("x-b"), "{text}");
         assert!(text.contains("x-c: 3\r\n"), "{text}");
     });
 }
 
 #[test]
-fn stop_running() {
-    // A router is replaced while a request runs and another connection is idle. The request
-    // gets its whole answer, the idle connection is closed, and only then the stop ends.
+fn stop_waits_for_running_requests() {
+    // The server stops while a request runs and another connection is idle. The idle connection
+    // is closed, the request gets its complete response, and only then does `stop` return.
     task::block_on(async {
-        let (go, wait) = bounded::<()>(1);
-        let (began, begun) = bounded::<()>(1);
-        let (server, address) = start(Limits::default(), move |ask| {
-            let (wait, began) = (wait.clone(), began.clone());
+        let (resume, wait) = bounded::<()>(1);
+        let (started, started_events) = bounded::<()>(1);
+        let (server, address) = start(Limits::default(), move |request| {
+            let (wait, started) = (wait.clone(), started.clone());
             async move {
-                began.send(()).await.unwrap();
+                started.send(()).await.unwrap();
                 wait.recv().await.unwrap();
-                echo(ask).await
+                echo(request).await
             }
         })
         .await;
-        let mut idle = Raw::connect(address).await;
-        let mut busy = Raw::connect(address).await;
+        let mut idle = RawConnection::connect(address).await;
+        let mut busy = RawConnection::connect(address).await;
         busy.send(format!("{HEAD}content-length: 2\r\n\r\nok"))
             .await;
-        soon(begun.recv()).await.unwrap();
+        with_timeout(started_events.recv()).await.unwrap();
         let stopping = server.clone();
         let (done, ended) = bounded::<()>(1);
         task::spawn(async move {
             stopping.stop().await;
             done.send(()).await.unwrap();
         });
-        assert_eq!(idle.rest().await, "");
+        assert_eq!(idle.read_to_end().await, "");
         assert!(ended.is_empty(), "the stop ended before the request");
-        go.send(()).await.unwrap();
-        let text = busy.rest().await;
+        resume.send(()).await.unwrap();
+        let text = busy.read_to_end().await;
         assert!(text.contains("connection: close\r\n"), "{text}");
         assert!(text.ends_with("ok"), "{text}");
-        soon(ended.recv()).await.unwrap();
+        with_timeout(ended.recv()).await.unwrap();
         assert_eq!(server.connections(), 0);
     });
 }
 
 #[test]
-fn stop_backlog() {
-    // A caller connects and sends its request just as the router stops, and was not accepted
-    // yet. Dropping the listener would reset it, and its caller could not know what became of
-    // the request.
+fn stop_serves_accept_queue() {
+    // A caller has connected and sent its request when the server stops, but its connection was
+    // not accepted yet. Dropping the listener would reset it, and the caller could not know
+    // whether the request ran.
     task::block_on(async {
         let server = Server::new(Limits::default(), echo);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         let mut serving = Box::pin(server.serve(listener));
         assert!(poll_once(&mut serving).await.is_none());
-        let mut raw = Raw::connect(address).await;
+        let mut raw = RawConnection::connect(address).await;
         raw.send(format!("{HEAD}content-length: 2\r\n\r\nok")).await;
         let mut stopping = Box::pin(server.stop());
         assert!(poll_once(&mut stopping).await.is_none());
-        soon(serving).await;
-        raw.until("ok").await;
+        with_timeout(serving).await;
+        raw.read_until("ok").await;
         drop(raw);
-        soon(stopping).await;
+        with_timeout(stopping).await;
     });
 }
