--- a/crates/callers/src/client/attempts.rs
+++ b/crates/callers/src/client/attempts.rs
@@ -55,7 +55,7 @@
 
 /// The state of a call across its attempts.
 struct Progress {
-    deadline: Instant,
+    ends_at: Instant,
     ticket: Option<String>,
     /// How often the request was sent with this ticket.
     sends: u32,
@@ -85,9 +85,9 @@
             return Ok(answer);
         }
         let mut last = Refused::new(Reason::NoEndpoint, "no router is known; give an address");
-        let mut routers = cache.last_addresses(service);
-        routers.extend(&self.0.settings.routers);
-        for router in routers {
+        let mut candidates = cache.last_addresses(service);
+        candidates.extend(&self.0.settings.routers);
+        for router in candidates {
             match self.fetch_addresses(service, router, 0).await {
                 Ok(answer) if !answer.addresses.is_empty() => {
                     cache.store_addresses(service, &answer);
@@ -120,9 +120,9 @@
             Ok(route) => route,
             Err(refused) => return Answer::refused(refused),
         };
-        let timeout = call.deadline.unwrap_or(self.0.settings.timeout);
+        let time_limit = call.deadline.unwrap_or(self.0.settings.timeout);
         let mut progress = Progress {
-            deadline: Instant::now() + timeout,
+            ends_at: Instant::now() + time_limit,
             ticket: None,
             sends: 0,
             lost: false,
@@ -130,7 +130,7 @@
         };
         let max_attempts = self.0.settings.max_attempts;
         for (n, router) in route.iter().cycle().take(max_attempts).enumerate() {
-            if n > 0 && Instant::now() >= progress.deadline {
+            if n > 0 && Instant::now() >= progress.ends_at {
                 break;
             }
             let mut ended = self.attempt(call, *router, &mut progress, on_chunk).await;
@@ -188,7 +188,7 @@
         progress: &Progress,
         on_chunk: &mut OnChunk<'_>,
     ) -> AttemptResult {
-        let deadline = call.deadline.map(|_| progress.deadline);
+        let deadline = call.deadline.map(|_| progress.ends_at);
         let Some(http) = build_request(call, router, deadline, progress.ticket.as_deref()) else {
             let bad = "the method, path or a header can't be sent; use printable ASCII";
             return AttemptResult::Complete(Answer::refused(Refused::new(Reason::BadRequest, bad)));
@@ -197,7 +197,7 @@
             pool: &self.0.pool,
             router,
             idle_timeout: self.0.settings.idle_timeout,
-            deadline: progress.deadline,
+            ends_at: progress.ends_at,
         };
         exchange.run(http, on_chunk).await
     }
@@ -259,7 +259,7 @@
             pool: &self.0.pool,
             router,
             idle_timeout: ADDRESS_TIMEOUT,
-            deadline: Instant::now() + ADDRESS_TIMEOUT,
+            ends_at: Instant::now() + ADDRESS_TIMEOUT,
         };
         let answer = match exchange.run(http, &mut None).await {
             AttemptResult::Complete(answer) => answer,
@@ -350,7 +350,7 @@
         let refused = self.last.refused.as_ref();
         let running = refused.filter(|r| r.reason == Reason::TicketRunning)?;
         let pause = Duration::from_millis(running.retry_ms.unwrap_or(0)).max(MIN_POLL_PAUSE);
-        (Instant::now() + pause < self.deadline).then_some(pause)
+        (Instant::now() + pause < self.ends_at).then_some(pause)
     }
 
     /// Returns the last answer, or a lost answer if the last one does not cover all attempts.
--- a/crates/callers/src/client/cache.rs
+++ b/crates/callers/src/client/cache.rs
@@ -71,10 +71,10 @@
 
     pub(crate) fn take_ticket(&self, service: &ServiceId, router: SocketAddr) -> Option<String> {
         let mut inner = self.lock();
-        let tickets = inner.tickets.get_mut(&(service.clone(), router))?;
+        let unused = inner.tickets.get_mut(&(service.clone(), router))?;
         let now = Instant::now();
-        tickets.retain(|t| now < t.expires_at);
-        tickets.pop().map(|t| t.text)
+        unused.retain(|t| now < t.expires_at);
+        unused.pop().map(|t| t.text)
     }
 
     /// Removes the tickets issued by a router.
--- a/crates/callers/src/client/exchange.rs
+++ b/crates/callers/src/client/exchange.rs
@@ -66,7 +66,7 @@
     pub(crate) router: SocketAddr,
     /// Longest time without progress on the connection.
     pub(crate) idle_timeout: std::time::Duration,
-    pub(crate) deadline: Instant,
+    pub(crate) ends_at: Instant,
 }
 
 impl Exchange<'_> {
@@ -124,8 +124,8 @@
             match self.with_timeout(http.read(&mut buf)).await {
                 Ok(0) => break,
                 Ok(n) => {
-                    if let Some(on_chunk) = on_chunk.as_mut().filter(|_| streamed) {
-                        on_chunk(&buf[..n]);
+                    if let Some(callback) = on_chunk.as_mut().filter(|_| streamed) {
+                        callback(&buf[..n]);
                     }
                     answer.body.extend_from_slice(&buf[..n]);
                 }
@@ -137,8 +137,8 @@
             return false;
         }
         // Other answers are passed on once complete, so that an aborted one can be retried.
-        if let Some(on_chunk) = on_chunk.as_mut().filter(|_| !streamed) {
-            on_chunk(&answer.body);
+        if let Some(callback) = on_chunk.as_mut().filter(|_| !streamed) {
+            callback(&answer.body);
         }
         true
     }
@@ -147,7 +147,7 @@
         &self,
         work: impl std::future::Future<Output = io::Result<T>>,
     ) -> io::Result<T> {
-        let left = self.deadline.saturating_duration_since(Instant::now());
+        let left = self.ends_at.saturating_duration_since(Instant::now());
         async_std::io::timeout(left.min(self.idle_timeout), work).await
     }
 }
@@ -176,11 +176,11 @@
     http.set_body(call.body.clone());
     http.remove_header("content-type");
     for (name, value) in &call.headers {
-        append_header(&mut http, name, value)?;
+        add_header(&mut http, name, value)?;
     }
     for (name, value) in router_headers {
         if let Some(value) = value {
-            append_header(&mut http, name, value)?;
+            add_header(&mut http, name, value)?;
         }
     }
     Some(http)
@@ -197,7 +197,7 @@
     Some(http_types::Request::new(method, url))
 }
 
-fn append_header(http: &mut http_types::Request, name: &str, value: &str) -> Option<()> {
+fn add_header(http: &mut http_types::Request, name: &str, value: &str) -> Option<()> {
     if value.contains(['\r', '\n']) {
         return None;
     }
--- a/crates/callers/src/response.rs
+++ b/crates/callers/src/response.rs
@@ -120,21 +120,21 @@
         http.remove_header("content-type");
         for (name, value) in self.headers {
             if is_forwarded(&name) {
-                append_header(&mut http, &name, value);
+                add_header(&mut http, &name, value);
             }
         }
         match self.outcome {
-            _ if streamed => append_header(&mut http, OUTCOME, AT_END.to_owned()),
-            Some(outcome) => append_header(&mut http, OUTCOME, outcome.to_string()),
+            _ if streamed => add_header(&mut http, OUTCOME, AT_END.to_owned()),
+            Some(outcome) => add_header(&mut http, OUTCOME, outcome.to_string()),
             None => {}
         }
         if let Some(retry) = self.retry {
             let ms = retry.as_millis() as u64;
-            append_header(&mut http, RETRY_AFTER, ms.div_ceil(1_000).to_string());
-            append_header(&mut http, RETRY_MS, ms.to_string());
+            add_header(&mut http, RETRY_AFTER, ms.div_ceil(1_000).to_string());
+            add_header(&mut http, RETRY_MS, ms.to_string());
         }
         if let Some(id) = id {
-            append_header(&mut http, REQUEST_ID, id.to_string());
+            add_header(&mut http, REQUEST_ID, id.to_string());
         }
         http
     }
@@ -163,7 +163,7 @@
 }
 
 /// Appends a header, or drops it if it can't be encoded.
-fn append_header(http: &mut http_types::Response, name: &str, value: String) {
+fn add_header(http: &mut http_types::Response, name: &str, value: String) {
     // An endpoint's header may contain line breaks or bytes that are not ASCII. The library
     // panics at one and writes the other unchecked, which would allow response splitting.
     let is_valid = !value.contains(['\r', '\n', '\0']) && !name.contains(['\r', '\n', ' ', ':']);
--- a/crates/callers/tests/bad_input.rs
+++ b/crates/callers/tests/bad_input.rs
@@ -297,10 +297,7 @@
             ..limits()
         };
         let (_server, address) = start(idle, echo).await;
-        assert_eq!(
-            RawConnection::connect(address).await.read_to_end().await,
-            ""
-        );
+        assert_eq!(RawConnection::connect(address).await.read_all().await, "");
     });
 }
 
@@ -318,21 +315,21 @@
             },
         ] {
             let (server, address) = start(few, echo).await;
-            let mut connections = Vec::new();
+            let mut open = Vec::new();
             for _ in 0..2 {
                 let mut raw = RawConnection::connect(address).await;
                 raw.send(format!("{HEAD}content-length: 2\r\n\r\nok")).await;
                 raw.read_until("ok").await;
-                connections.push(raw);
+                open.push(raw);
             }
             let text = send_raw(address, format!("{HEAD}\r\n")).await;
             assert_rejected(&text, 503, "too-many-connections");
             // Earlier connections are still served.
-            connections[0]
+            open[0]
                 .send(format!("{HEAD}content-length: 2\r\n\r\nok"))
                 .await;
-            connections[0].read_until("ok").await;
-            drop(connections);
+            open[0].read_until("ok").await;
+            drop(open);
             while server.connections() > 0 {
                 task::sleep(Duration::from_millis(1)).await;
             }
--- a/crates/callers/tests/common/mod.rs
+++ b/crates/callers/tests/common/mod.rs
@@ -49,8 +49,8 @@
 }
 
 /// Responds with the request's body, and with its other parts as headers.
-pub async fn echo(request: IncomingRequest) -> Response {
-    match request {
+pub async fn echo(incoming: IncomingRequest) -> Response {
+    match incoming {
         IncomingRequest::Request { request, .. } => {
             Response::complete(200, Outcome::Answered, request.body.clone())
                 .header("x-service", request.service.to_string())
@@ -84,7 +84,7 @@
     }
 
     /// Reads until the server closes the connection.
-    pub async fn read_to_end(&mut self) -> String {
+    pub async fn read_all(&mut self) -> String {
         let mut bytes = Vec::new();
         let _ = with_timeout(self.0.read_to_end(&mut bytes)).await;
         String::from_utf8(bytes).unwrap()
@@ -107,7 +107,7 @@
 pub async fn send_raw(address: SocketAddr, text: impl AsRef<[u8]>) -> String {
     let mut raw = RawConnection::connect(address).await;
     raw.send(text).await;
-    raw.read_to_end().await
+    raw.read_all().await
 }
 
 /// Asserts that a request on a new connection is served.
--- a/crates/callers/tests/hang_up.rs
+++ b/crates/callers/tests/hang_up.rs
@@ -39,13 +39,13 @@
 /// Starts a server whose requests run until their caller disconnects, and reports both events.
 async fn start_waiting() -> (Server, SocketAddr, Receiver<&'static str>) {
     let (sender, events) = bounded(8);
-    let (server, address) = start(Limits::default(), move |request| {
+    let (server, address) = start(Limits::default(), move |incoming| {
         let sender = sender.clone();
         async move {
             let IncomingRequest::Request {
                 request,
                 disconnect,
-            } = request
+            } = incoming
             else {
                 panic!("no address was asked for");
             };
@@ -102,7 +102,7 @@
         assert_eq!(with_timeout(events.recv()).await, Ok("began"));
         raw.0.shutdown(Shutdown::Write).unwrap();
         assert_eq!(with_timeout(events.recv()).await, Ok("gone"));
-        assert_eq!(raw.read_to_end().await, "");
+        assert_eq!(raw.read_all().await, "");
     });
 }
 
@@ -131,7 +131,7 @@
             let mut raw = RawConnection::connect(address).await;
             raw.send(text).await;
             raw.0.shutdown(Shutdown::Write).unwrap();
-            assert_eq!(raw.read_to_end().await, "");
+            assert_eq!(raw.read_all().await, "");
         }
         connections_closed(&server).await;
         assert!(events.is_empty());
@@ -163,13 +163,13 @@
     Receiver<(Sender<Piece>, DisconnectSignal)>,
 ) {
     let (sender, events) = bounded(8);
-    let (server, address) = start(limits, move |request| {
+    let (server, address) = start(limits, move |incoming| {
         let sender = sender.clone();
         async move {
             let IncomingRequest::Request {
                 disconnect,
                 request,
-            } = request
+            } = incoming
             else {
                 panic!("no address was asked for");
             };
--- a/crates/callers/tests/server.rs
+++ b/crates/callers/tests/server.rs
@@ -172,7 +172,7 @@
             assert_eq!(raw.read_until("\n\n\r\n").await, format!("9\r\n{text}\r\n"));
         }
         with_timeout(send.send(Piece::End)).await.unwrap();
-        assert_eq!(raw.read_to_end().await, "0\r\n\r\n");
+        assert_eq!(raw.read_all().await, "0\r\n\r\n");
     });
 }
 
@@ -284,10 +284,10 @@
             stopping.stop().await;
             done.send(()).await.unwrap();
         });
-        assert_eq!(idle.read_to_end().await, "");
+        assert_eq!(idle.read_all().await, "");
         assert!(ended.is_empty(), "the stop ended before the request");
         resume.send(()).await.unwrap();
-        let text = busy.read_to_end().await;
+        let text = busy.read_all().await;
         assert!(text.contains("connection: close\r\n"), "{text}");
         assert!(text.ends_with("ok"), "{text}");
         with_timeout(ended.recv()).await.unwrap();
