--- a/crates/policy/src/actives/recipients.rs
+++ b/crates/policy/src/actives/recipients.rs
@@ -23,11 +23,11 @@
 const RELAYS: usize = 2;
 /// Interval between two messages of active routers, per active router, so that one of 64 sends no
 /// more than 200 messages per second.
-const ACTIVE_INTERVAL: Span = Span::millis(5);
+const ACTIVE_INTERVAL_PER_ROUTER: Span = Span::millis(5);
 /// Interval between two hellos of an active router to each other router, and of each standby to the
 /// active ones, per known router, and its minimum. In a fleet of 370, an active router sends 100
 /// messages of about 150 bytes per second.
-const HELLO_INTERVAL: Span = Span::millis(10);
+const HELLO_INTERVAL_PER_ROUTER: Span = Span::millis(10);
 const HELLO_INTERVAL_MIN: Span = Span::millis(300);
 /// Factor of the hello interval between two standbys: 10 messages per second in a fleet of 300.
 const STANDBY_FACTOR: f64 = 10.0;
@@ -66,7 +66,7 @@
     /// Returns the interval between two messages to active routers.
     pub fn gossip_interval(&self) -> Span {
         self.heartbeat
-            .max(ACTIVE_INTERVAL * self.active_count() as f64)
+            .max(ACTIVE_INTERVAL_PER_ROUTER * self.active_count() as f64)
     }
 
     /// Returns whether this router knows so few others that it asks for more addresses.
@@ -76,7 +76,7 @@
 
     /// Returns the interval between two hellos to each other router.
     pub fn hello_interval(&self) -> Span {
-        HELLO_INTERVAL_MIN.max(HELLO_INTERVAL * self.contacts.len() as f64)
+        HELLO_INTERVAL_MIN.max(HELLO_INTERVAL_PER_ROUTER * self.contacts.len() as f64)
     }
 
     /// Returns whether this router is active, according to itself or to another router.
--- a/crates/policy/src/placement/tuning.rs
+++ b/crates/policy/src/placement/tuning.rs
@@ -21,7 +21,8 @@
 /// let tuning = Tuning::default();
 /// let load_interval = Span::millis(100);
 /// let at = |share| UsageStanding { share, ..UsageStanding::default() };
-/// assert!(tuning.limit(at(2.0), load_interval).occupancy < tuning.limit(at(0.5), load_interval).occupancy);
+/// let limit = |share| tuning.limit(at(share), load_interval).occupancy;
+/// assert!(limit(2.0) < limit(0.5));
 /// ```
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 #[serde(default, rename_all = "kebab-case")]
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -300,8 +300,8 @@
         all
     }
 
-    /// Adds this router's own counts, and its estimate of unreported demand, to what `peer_count` peers
-    /// reported of a workspace.
+    /// Adds this router's own counts, and its estimate of unreported demand, to what `peer_count`
+    /// peers reported of a workspace.
     fn with_local(
         &self,
         key: WorkspaceKey,
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -52,14 +52,14 @@
     choose_for(engines, share, AnswerState::NotStarted)
 }
 
-fn choose_for(engines: &[Candidate], share: f64, answer: AnswerState) -> Pick {
+fn choose_for(engines: &[Candidate], usage: f64, answer: AnswerState) -> Pick {
     let request = PlacementRequest {
         prompt: &prompt(),
         answer,
         target: Span::millis(400),
         shortest_target: Span::millis(250),
         usage: UsageStanding {
-            share,
+            share: usage,
             ..UsageStanding::default()
         },
         load_interval: Span::millis(100),
--- a/crates/policy/tests/quarantine/fleet.rs
+++ b/crates/policy/tests/quarantine/fleet.rs
@@ -37,7 +37,7 @@
 pub(crate) struct Plan {
     pub(crate) span: Span,
     /// Time of the first deadly request.
-    pub(crate) start: Span,
+    pub(crate) first_at: Span,
     /// Its arrivals per second from then on, and the copies per arrival.
     pub(crate) deadly_rate: f64,
     pub(crate) copies: usize,
@@ -51,7 +51,7 @@
     fn default() -> Plan {
         Plan {
             span: Span::secs(60),
-            start: Span::secs(3),
+            first_at: Span::secs(3),
             deadly_rate: 3.0,
             copies: 1,
             crash_rate: 0.2,
@@ -166,7 +166,7 @@
 
     /// Sends the requests that arrive now to random routers.
     fn ask(&mut self, plan: &Plan) {
-        if self.now >= Time(0) + plan.start && self.arrives(plan.deadly_rate) {
+        if self.now >= Time(0) + plan.first_at && self.arrives(plan.deadly_rate) {
             for _ in 0..plan.copies {
                 self.attempt(DEADLY);
             }
