--- a/crates/policy/src/placement/board.rs
+++ b/crates/policy/src/placement/board.rs
@@ -26,7 +26,7 @@
 ///
 /// Peers report several times in this span, so a peer that sends nothing is disconnected or down,
 /// and its requests end with it. With a longer span, the requests of a killed router would keep
-/// free slots occupied. About one message in a few hundred is lost.
+/// free slots occupied. About one message in a hundred is lost.
 const REPORT_VALIDITY: Validity = Validity::new(Span::millis(700), 2.3);
 
 /// A 32-bit hash that identifies a replica in messages between routers: 4 bytes instead of 10 to
--- a/crates/policy/src/placement/plain.rs
+++ b/crates/policy/src/placement/plain.rs
@@ -17,7 +17,7 @@
 
 /// Requests per slot from which a replica counts as full.
 ///
-/// A request behind two others per slot takes about twice the usual time, which is within most
+/// A request behind two others per slot waits about twice the usual time, which is within most
 /// latency targets. The replica itself would shed anything beyond, and sending a request that is
 /// shed is wasted work.
 const FULL_FACTOR: f64 = 2.5;
--- a/crates/policy/src/quarantine/table.rs
+++ b/crates/policy/src/quarantine/table.rs
@@ -32,7 +32,7 @@
 const TRUST_SPAN: Span = Span::secs(10);
 /// How long a record is kept without changes. Callers retry within minutes.
 const RECORD_RETENTION: Span = Span::secs(3_600);
-/// How long an event is reported: in several messages, as one in a few hundred is lost.
+/// How long an event is reported: in several messages, as about one in a hundred is lost.
 const REPORT_SPAN: Span = Span::secs(2);
 /// Two routers that report the remaining time of a hold to each other must not prolong it by the
 /// latency of their messages. A reported time counts only if it exceeds the known one by more than
--- a/crates/policy/src/quota/table.rs
+++ b/crates/policy/src/quota/table.rs
@@ -26,7 +26,7 @@
 
 /// How long the usage report of a peer is valid: this long at least, and until this many reports in
 /// a row have been missed. After that the peer's part of the window is unknown. About one message
-/// in a few hundred is lost.
+/// in a hundred is lost.
 const REPORT_VALIDITY: Validity = Validity::new(Span::secs(2), 2.3);
 /// Interval at which the fair shares are recomputed.
 const REFRESH_INTERVAL: Span = Span::millis(50);
--- a/crates/policy/src/turn.rs
+++ b/crates/policy/src/turn.rs
@@ -5,8 +5,8 @@
 /// How often a router checks whether it is its turn.
 pub(crate) const POLL_INTERVAL: Span = Span::millis(50);
 /// Average number of routers per second that take a turn once a task is due. It increases by this
-/// much for each [`RISE_INTERVAL`] in which none did: the first one does so after 0.1 s, none has done so
-/// after 0.5 s in one of 6,000 cases, and about two do before all routers have been told.
+/// much for each [`RISE_INTERVAL`] in which none did: the first one does so after 0.1 s, none has
+/// done so after 0.5 s in one of 6,000 cases, and about two do before all routers know of it.
 const TURNS_PER_S: f64 = 5.0;
 /// See [`TURNS_PER_S`].
 const RISE_INTERVAL: Span = Span::millis(100);
