--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -1,13 +1,14 @@
-//! The callers' side: address answers, requests and their outcomes.
+//! The caller API: address lists, requests and their outcomes.
 //!
-//! [`Server`] takes requests over HTTP/1.1 and hands each to one closure; [`Client`] is the
-//! other end, for the program's own commands and for measurements. The interface itself is
-//! described in `docs/CALLERS.md`.
+//! [`Server`] accepts requests over HTTP/1.1 and passes each to a handler. [`Client`] is the
+//! client side, used by the program's commands and for measurements. The API is described in
+//! `docs/CALLERS.md`.
 
 mod addresses;
+mod caller_socket;
 mod client;
 mod connection;
-mod gone;
+mod disconnect;
 mod headers;
 mod limits;
 mod parse;
@@ -15,15 +16,14 @@
 mod request;
 mod response;
 mod server;
+mod socket_options;
 mod stream_body;
-mod tune;
-mod wire;
 
 pub use self::{
     addresses::{
         Address,
-        Where,
-        WhereQuery, //
+        AddressList,
+        AddressListQuery, //
     },
     client::{
         Answer,
@@ -31,7 +31,7 @@
         Client,
         ClientSettings, //
     },
-    gone::Gone,
+    disconnect::DisconnectSignal,
     headers::{
         DEADLINE_MS,
         OUTCOME,
@@ -46,11 +46,11 @@
     },
     limits::Limits,
     refused::{
+        Reason, //
         Refused,
-        Why, //
     },
     request::{
-        Ask,
+        IncomingRequest,
         Request,
         RequestId, //
     },
--- a/crates/callers/src/refused.rs
+++ b/crates/callers/src/refused.rs
@@ -1,4 +1,4 @@
-//! Refusals: why a request got no answer from an endpoint, as status, headers and JSON.
+//! Rejections and errors of requests, as HTTP status, headers and JSON.
 
 use {
     policy::{
@@ -15,15 +15,15 @@
     },
 };
 
-/// Why a request was refused or could not be answered.
+/// The reason why a request was rejected or could not be answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
-    /// The bytes are no HTTP/1.1 request.
+pub enum Reason {
+    /// The received bytes are not an HTTP/1.1 request.
     BadRequest,
-    /// A header of ours is missing or malformed, or a header is not text.
+    /// A `chervilwind-` header is missing or malformed, or a header is not printable ASCII.
     BadHeader,
-    /// The deadline is no whole number of milliseconds.
+    /// The deadline is not an integer number of milliseconds.
     BadDeadline,
     /// No such path below `/chervilwind/`.
     UnknownPath,
@@ -33,30 +33,30 @@
     UnknownWorkspace,
     /// No such profile in the configuration.
     UnknownProfile,
-    /// The head did not come in time.
+    /// The head did not arrive in time.
     HeadTimeout,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTimeout,
     /// The head is too long or has too many headers.
     HeadTooLarge,
     /// The body is too long.
     BodyTooLarge,
-    /// The request may not be repeated and came without a ticket.
+    /// The request must not be repeated and has no ticket.
     TicketNeeded,
-    /// The ticket has expired, and no request that carried it ran or ever will.
+    /// The ticket has expired, and no request that carried it ran or will run.
     TicketExpired,
     /// A request with this ticket is running.
     TicketRunning,
-    /// A request with this ticket ended, and its answer is no longer kept. The outcome is that
-    /// of the ticket: of all tries that carried it.
+    /// A request with this ticket ended, and its answer is no longer stored. The outcome applies
+    /// to the ticket, that is to all attempts that carried it.
     TicketUsed,
-    /// The router that holds the ticket is gone or can't be reached.
+    /// The router that holds the ticket has left or can't be reached.
     TicketOrphaned,
-    /// The workspace has as many queued requests as it may.
+    /// The workspace has reached its limit on queued requests.
     QueueFull,
-    /// Too many connections, in all or from this address.
+    /// Too many connections in total or from this IP address.
     TooManyConnections,
-    /// No endpoint of the service takes work.
+    /// No endpoint of the service accepts requests.
     NoEndpoint,
     /// This router is shutting down.
     Leaving,
@@ -64,135 +64,139 @@
     NotReady,
     /// The retry budget is spent.
     RetryBudget,
-    /// It can't be served within its deadline.
+    /// The request can't be served within its deadline.
     Late,
-    /// Its deadline passed before it was run.
+    /// The deadline passed before the request ran.
     Expired,
-    /// Its deadline passed while it ran.
+    /// The deadline passed while the request ran.
     TimedOut,
-    /// The endpoint's answer was lost or was cut.
+    /// The endpoint's answer was lost or aborted.
     AnswerLost,
-    /// The endpoint answered that it failed.
+    /// The endpoint reported a failure.
     EndpointFailed,
-    /// A fault in the router.
+    /// An internal error of the router.
     Internal,
 }
 
-/// A request that got no endpoint's answer: what the caller is told.
+/// The response to a request that has no answer from an endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refused {
-    /// What is known of the request.
+    /// Whether the request ran, as far as is known.
     pub outcome: Outcome,
-    /// The cause, for programs.
-    pub why: Why,
-    /// The cause and its remedy, for people.
+    /// The machine-readable reason.
+    #[serde(rename = "why")]
+    pub reason: Reason,
+    /// The reason and its remedy in text.
     pub message: String,
-    /// Milliseconds after which it may be sent again, where that makes sense.
+    /// Milliseconds after which a retry makes sense, if any.
     #[serde(skip_serializing_if = "Option::is_none", default)]
     pub retry_ms: Option<u64>,
 }
 
 impl Refused {
-    /// Makes a refusal with the outcome that `why` usually has.
+    /// Creates a rejection with the outcome that `reason` usually has.
     ///
     /// # Examples
     ///
     /// ```
-    /// use callers::{Refused, Why};
+    /// use callers::{Refused, Reason};
     ///
-    /// let refused = Refused::new(Why::QueueFull, "send fewer requests at once");
+    /// let refused = Refused::new(Reason::QueueFull, "send fewer requests at once");
     /// assert_eq!(refused.outcome, policy::Outcome::NotRun);
-    /// assert_eq!(refused.why.status(), 429);
+    /// assert_eq!(refused.reason.status(), 429);
     /// ```
-    pub fn new(why: Why, message: impl Into<String>) -> Refused {
+    pub fn new(reason: Reason, message: impl Into<String>) -> Refused {
         Refused {
-            outcome: why.outcome(),
-            why,
+            outcome: reason.outcome(),
+            reason,
             message: message.into(),
             retry_ms: None,
         }
     }
 
-    /// Says when the caller may come back.
+    /// Sets the delay after which the caller may retry.
     pub fn retry_after(mut self, after: Duration) -> Refused {
         self.retry_ms = Some(after.as_millis() as u64);
         self
     }
 
-    /// Says another outcome than the usual one.
+    /// Overrides the default outcome of the reason.
     pub fn outcome(mut self, outcome: Outcome) -> Refused {
         self.outcome = outcome;
         self
     }
 
-    /// Makes the refusal that a decision of the policy stands for.
+    /// Converts a rejection by the policy.
     pub fn from_policy(refusal: Refusal) -> Refused {
-        let (why, message) = match refusal {
+        let (reason, message) = match refusal {
             Refusal::QueueFull => (
-                Why::QueueFull,
+                Reason::QueueFull,
                 "the workspace has too many requests queued; come back after retry_ms",
             ),
             Refusal::Late => (
-                Why::Late,
+                Reason::Late,
                 "it can't be answered within its deadline; allow more time or come back later",
             ),
             Refusal::Expired => (
-                Why::Expired,
+                Reason::Expired,
                 "its deadline passed while it was queued; allow more time",
             ),
             Refusal::NoEndpoint => (
-                Why::NoEndpoint,
+                Reason::NoEndpoint,
                 "no endpoint of the service takes work; come back after retry_ms",
             ),
             Refusal::Leaving => (
-                Why::Leaving,
+                Reason::Leaving,
                 "this router is shutting down; use another address",
             ),
             Refusal::Budget => (
-                Why::RetryBudget,
+                Reason::RetryBudget,
                 "too many requests had to be retried; come back after retry_ms",
             ),
         };
-        Refused::new(why, message)
+        Refused::new(reason, message)
     }
 }
 
-impl Why {
+impl Reason {
     /// Returns the HTTP status.
     pub fn status(self) -> u16 {
         match self {
-            Why::BadRequest | Why::BadHeader | Why::BadDeadline => 400,
-            Why::UnknownPath
-            | Why::UnknownService
-            | Why::UnknownWorkspace
-            | Why::UnknownProfile => 404,
-            Why::HeadTimeout | Why::BodyTimeout => 408,
-            Why::TicketExpired | Why::TicketRunning | Why::TicketUsed | Why::TicketOrphaned => 409,
-            Why::BodyTooLarge => 413,
-            Why::TicketNeeded => 428,
-            Why::QueueFull => 429,
-            Why::HeadTooLarge => 431,
-            Why::Internal => 500,
-            Why::AnswerLost | Why::EndpointFailed => 502,
-            Why::TooManyConnections
-            | Why::NoEndpoint
-            | Why::Leaving
-            | Why::NotReady
-            | Why::RetryBudget => 503,
-            Why::Late | Why::Expired | Why::TimedOut => 504,
+            Reason::BadRequest | Reason::BadHeader | Reason::BadDeadline => 400,
+            Reason::UnknownPath
+            | Reason::UnknownService
+            | Reason::UnknownWorkspace
+            | Reason::UnknownProfile => 404,
+            Reason::HeadTimeout | Reason::BodyTimeout => 408,
+            Reason::TicketExpired
+            | Reason::TicketRunning
+            | Reason::TicketUsed
+            | Reason::TicketOrphaned => 409,
+            Reason::BodyTooLarge => 413,
+            Reason::TicketNeeded => 428,
+            Reason::QueueFull => 429,
+            Reason::HeadTooLarge => 431,
+            Reason::Internal => 500,
+            Reason::AnswerLost | Reason::EndpointFailed => 502,
+            Reason::TooManyConnections
+            | Reason::NoEndpoint
+            | Reason::Leaving
+            | Reason::NotReady
+            | Reason::RetryBudget => 503,
+            Reason::Late | Reason::Expired | Reason::TimedOut => 504,
         }
     }
 
-    /// Returns the outcome, unless the one who refuses knows better.
+    /// Returns the default outcome.
     pub fn outcome(self) -> Outcome {
         match self {
-            Why::TicketRunning
-            | Why::TicketUsed
-            | Why::TicketOrphaned
-            | Why::TimedOut
-            | Why::AnswerLost
-            | Why::Internal => Outcome::MayHaveRun,
-            Why::EndpointFailed => Outcome::Failed,
+            Reason::TicketRunning
+            | Reason::TicketUsed
+            | Reason::TicketOrphaned
+            | Reason::TimedOut
+            | Reason::AnswerLost
+            | Reason::Internal => Outcome::MayHaveRun,
+            Reason::EndpointFailed => Outcome::Failed,
             _ => Outcome::NotRun,
         }
     }
--- a/src/measure/load.rs
+++ b/src/measure/load.rs
@@ -195,7 +195,7 @@
 impl Sums {
     fn note(&mut self, answer: &Answer, expected: &str, first: Duration) {
         let cause = || match &answer.refused {
-            Some(refused) => format!("{:?}", refused.why),
+            Some(refused) => format!("{:?}", refused.reason),
             None => "no cause given".to_owned(),
         };
         match answer.outcome {
@@ -216,7 +216,7 @@
 pub(crate) fn pinned(router: SocketAddr) -> Client {
     let mut settings = ClientSettings::new(vec![router]);
     settings.pinned = true;
-    settings.tries = 1;
+    settings.max_attempts = 1;
     Client::new(settings)
 }
 
--- a/src/router/progress.rs
+++ b/src/router/progress.rs
@@ -21,7 +21,7 @@
     },
     async_std::channel::Receiver,
     callers::{
-        Gone,
+        DisconnectSignal,
         Refused,
         Response, //
     },
@@ -131,7 +131,7 @@
     }
 
     /// Runs the request and returns its answer, or the head of it.
-    pub(crate) async fn run(mut self, gone: Gone) -> Response {
+    pub(crate) async fn run(mut self, gone: DisconnectSignal) -> Response {
         let service = &self.admitted.job.service;
         self.router
             .budget(service, |b, now| b.record_first_attempt(now));
@@ -176,7 +176,7 @@
     }
 
     /// Calls the endpoint once.
-    async fn attempt(mut self, replica: ReplicaId, gone: &Gone) -> AttemptOutcome {
+    async fn attempt(mut self, replica: ReplicaId, gone: &DisconnectSignal) -> AttemptOutcome {
         self.started = Instant::now();
         let call = self
             .admitted
@@ -211,7 +211,7 @@
     ///
     /// Until then nothing was forwarded, so that a failed call can be retried without the
     /// caller noticing.
-    async fn await_start(&mut self, mut answer: Answer, gone: &Gone) -> AnswerStart {
+    async fn await_start(&mut self, mut answer: Answer, gone: &DisconnectSignal) -> AnswerStart {
         let mut buffered = BufferedAnswer::default();
         loop {
             let event = or(async { answer.next().await }, async {
@@ -245,7 +245,7 @@
     ///
     /// A request that may not be repeated goes on without its caller. Its answer is recorded,
     /// so that a caller that lost it can get it with the same ticket.
-    async fn caller_disconnected(&self, gone: &Gone) {
+    async fn caller_disconnected(&self, gone: &DisconnectSignal) {
         if self.admitted.idempotent {
             gone.wait().await;
         } else {
@@ -304,7 +304,7 @@
         let complete = matches!(end.outcome, Outcome::Answered | Outcome::Failed);
         if complete && buffered.status != 0 {
             self.record(end.outcome, &buffered);
-            let mut response = Response::whole(buffered.status, end.outcome, buffered.body);
+            let mut response = Response::complete(buffered.status, end.outcome, buffered.body);
             response.headers = headers;
             return response;
         }
--- a/src/router/tests/test_fleet.rs
+++ b/src/router/tests/test_fleet.rs
@@ -12,9 +12,9 @@
     },
     async_std::task,
     callers::{
-        Ask,
         Body,
-        Gone,
+        DisconnectSignal,
+        IncomingRequest,
         Piece,
         Request,
         RequestId,
@@ -120,7 +120,8 @@
 
     /// Sends a request to a router and returns its answer.
     pub(crate) async fn ask(&self, router: usize, request: Request) -> CallerAnswer {
-        self.ask_with_gone(router, request, Gone::new()).await
+        self.ask_with_gone(router, request, DisconnectSignal::new())
+            .await
     }
 
     /// The same, for a caller that may hang up.
@@ -128,11 +129,18 @@
         &self,
         router: usize,
         request: Request,
-        gone: Gone,
+        gone: DisconnectSignal,
     ) -> CallerAnswer {
         let router = self.routers[router].router.clone();
         let request = Box::new(request);
-        let response = handle(router, Ask::Request { request, gone }).await;
+        let response = handle(
+            router,
+            IncomingRequest::Request {
+                request,
+                disconnect: gone,
+            },
+        )
+        .await;
         collect(response).await
     }
 
@@ -153,7 +161,7 @@
         complete: false,
     };
     match response.body {
-        Body::Whole(bytes) => (answer.body, answer.complete) = (bytes, true),
+        Body::Complete(bytes) => (answer.body, answer.complete) = (bytes, true),
         Body::Stream(pieces) => {
             while let Ok(piece) = pieces.recv().await {
                 match piece {
--- a/tests/call.rs
+++ b/tests/call.rs
@@ -8,15 +8,15 @@
     },
     callers::{
         Address,
-        Ask,
+        AddressList,
+        IncomingRequest,
         Limits,
         Piece,
+        Reason, //
         Refused,
         Request,
         Response,
         Server,
-        Where,
-        Why, //
     },
     policy::Outcome,
     std::{
@@ -42,16 +42,16 @@
     let address = listener.local_addr().unwrap();
     let server = Server::new(Limits::default(), move |ask| async move {
         match ask {
-            Ask::Where { query, .. } => (&locate(address, query.tickets)).into(),
-            Ask::Request { request, .. } => answer(&request),
+            IncomingRequest::Addresses { query, .. } => (&locate(address, query.tickets)).into(),
+            IncomingRequest::Request { request, .. } => answer(&request),
         }
     });
     task::spawn(async move { server.serve(TcpListener::from(listener)).await });
     address
 }
 
-fn locate(address: SocketAddr, tickets: u32) -> Where {
-    Where {
+fn locate(address: SocketAddr, tickets: u32) -> AddressList {
+    AddressList {
         addresses: vec![Address {
             router: "router-1".parse().unwrap(),
             address,
@@ -66,14 +66,14 @@
 
 fn answer(request: &Request) -> Response {
     match request.target.as_str() {
-        "/late" => Refused::new(Why::Late, "allow more time").into(),
-        "/lost" => Refused::new(Why::AnswerLost, "look whether it ran").into(),
-        "/failed" => Response::whole(500, Outcome::Failed, b"no ink".to_vec()),
+        "/late" => Refused::new(Reason::Late, "allow more time").into(),
+        "/lost" => Refused::new(Reason::AnswerLost, "look whether it ran").into(),
+        "/failed" => Response::complete(500, Outcome::Failed, b"no ink".to_vec()),
         "/v1/chat/completions" => stream(),
         target => {
             let ticket = request.ticket.as_deref().unwrap_or("none");
             let body = format!("{} {target} ticket {ticket}", request.method);
-            Response::whole(200, Outcome::Answered, body.into_bytes())
+            Response::complete(200, Outcome::Answered, body.into_bytes())
         }
     }
 }
@@ -173,6 +173,6 @@
         assert!(stdout.contains(text), "no `{text}` in\n{stdout}");
     }
     let output = chervilwind(&[&args[..], &["--json"]].concat());
-    let answer: Where = serde_json::from_slice(&output.stdout).unwrap();
+    let answer: AddressList = serde_json::from_slice(&output.stdout).unwrap();
     assert_eq!(answer, locate(router.parse().unwrap(), 2));
 }
