--- a/src/router/tests/outcomes.rs
+++ b/src/router/tests/outcomes.rs
@@ -73,7 +73,7 @@
     let router = &fleet.routers[0].router;
     let dispatch = format!("{:?}", lock(&router.dispatch));
     assert!(
-        dispatch.contains("fails: 0"),
+        dispatch.contains("Health { failures: 0,"),
         "the endpoint counts as failed"
     );
 }
