--- a/src/router/heartbeats.rs
+++ b/src/router/heartbeats.rs
@@ -163,7 +163,7 @@
     }
     let me = KnownRouter {
         id: router.me.router.clone(),
-        intro: intro(&router),
+        addresses: local_addresses(&router),
     };
     loop {
         for addr in &router.settings.seeds {
@@ -181,7 +181,7 @@
     }
 }
 
-pub(crate) fn intro(router: &Router) -> RouterAddresses {
+fn local_addresses(router: &Router) -> RouterAddresses {
     RouterAddresses {
         addr: router.settings.peers.advertise,
         caller_addr: router.settings.callers.advertise,
@@ -197,7 +197,7 @@
         let mut members = lock(&self.members);
         for k in known {
             if k.id != self.me.router {
-                members.seed(k.id, k.intro, now);
+                members.seed(k.id, k.addresses, now);
             }
         }
         drop(members);
@@ -205,11 +205,11 @@
     }
 
     /// Returns this router and those that it considers up.
-    pub(crate) fn known(&self) -> Vec<KnownRouter> {
+    pub(crate) fn known_routers(&self) -> Vec<KnownRouter> {
         let view = lock(&self.members).view();
         let known = view.into_iter().map(|m| KnownRouter {
             id: m.id,
-            intro: RouterAddresses {
+            addresses: RouterAddresses {
                 addr: m.addr,
                 caller_addr: m.caller_addr,
                 operator_addr: m.operator_addr,
--- a/src/router/inbox.rs
+++ b/src/router/inbox.rs
@@ -55,7 +55,7 @@
             Question::Hello(k) => {
                 log::debug!("router: hello from {from}");
                 router.add_routers(vec![k]);
-                Answer::Hello(router.known())
+                Answer::Hello(router.known_routers())
             }
             Question::Ticket(request) => {
                 let now = router.now();
--- a/src/router/messages.rs
+++ b/src/router/messages.rs
@@ -68,5 +68,6 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct KnownRouter {
     pub(crate) id: RouterId,
-    pub(crate) intro: RouterAddresses,
+    #[serde(rename = "intro")]
+    pub(crate) addresses: RouterAddresses,
 }
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -189,7 +189,7 @@
         incarnation: incarnation(),
     };
     let clock = Clock::new();
-    let intro = RouterAddresses {
+    let addresses = RouterAddresses {
         addr: settings.peers.advertise,
         caller_addr: settings.callers.advertise,
         operator_addr: Some(settings.operators.advertise),
@@ -216,7 +216,7 @@
         members: Mutex::new(Members::new(
             me.router.clone(),
             me.incarnation,
-            intro,
+            addresses,
             MembershipParams::default(),
             seed,
         )),
