--- a/src/router/claims.rs
+++ b/src/router/claims.rs
@@ -151,8 +151,8 @@
     fn unreachable_holder(&self, transfer: &TransferRequest) -> Response {
         let refused = Refused::new(Why::TicketOrphaned, TICKET_ORPHANED);
         let members = lock(&self.members);
-        let holder = members.get(&transfer.holder.router);
-        let same = holder.filter(|m| m.incarnation == transfer.holder.incarnation);
+        let member = members.get(&transfer.holder.router);
+        let same = member.filter(|m| m.incarnation == transfer.holder.incarnation);
         match same.is_some_and(|m| m.state != State::Left) {
             true => refused.retry_after(HOLDER_RETRY_AFTER).into(),
             false => refused.into(),
