--- a/crates/endpoints/src/client.rs
+++ b/crates/endpoints/src/client.rs
@@ -172,8 +172,8 @@
     Event::End(End {
         outcome: Outcome::MayHaveRun,
         tokens: 0,
-        first: None,
-        gap: None,
+        first_token: None,
+        token_gap: None,
         cause: Some(CallError::Broken(io::ErrorKind::Other)),
         leaving: false,
         resumed: 0,
--- a/crates/endpoints/src/event.rs
+++ b/crates/endpoints/src/event.rs
@@ -42,9 +42,9 @@
     /// Tokens passed on.
     pub tokens: u32,
     /// Time from the request to the first token.
-    pub first: Option<Span>,
+    pub first_token: Option<Span>,
     /// Mean time between tokens.
-    pub gap: Option<Span>,
+    pub token_gap: Option<Span>,
     /// What went wrong, if anything did.
     pub cause: Option<CallError>,
     /// Whether the endpoint said that it is leaving.
--- a/crates/endpoints/src/run/progress.rs
+++ b/crates/endpoints/src/run/progress.rs
@@ -119,8 +119,8 @@
         End {
             outcome,
             tokens: self.tokens,
-            first: self.first.map(|t| Span::from(t - self.started)),
-            gap: self.mean().map(Span::from),
+            first_token: self.first.map(|t| Span::from(t - self.started)),
+            token_gap: self.mean().map(Span::from),
             cause,
             leaving: self.leaving,
             resumed: self.resumed,
--- a/crates/endpoints/tests/calls.rs
+++ b/crates/endpoints/tests/calls.rs
@@ -59,7 +59,7 @@
         assert_eq!(whole.end.outcome, Outcome::Answered);
         assert_eq!(text(&whole.body), right);
         assert_eq!(whole.end.tokens, 12);
-        assert!(whole.end.first.is_some() && whole.end.gap.is_some());
+        assert!(whole.end.first_token.is_some() && whole.end.token_gap.is_some());
         assert_eq!(engine.runs()["a"], 1);
     });
 }
--- a/src/router/completion.rs
+++ b/src/router/completion.rs
@@ -41,8 +41,8 @@
     };
     Completion {
         units,
-        first_byte: end.first,
-        token_gap: end.gap,
+        first_byte: end.first_token,
+        token_gap: end.token_gap,
         ok: answered || end.cause.is_none() || short_deadline,
         refund: units == Units(0.0),
     }
