--- a/crates/endpoints/src/call.rs
+++ b/crates/endpoints/src/call.rs
@@ -67,7 +67,7 @@
     /// When the answer is of no use any more.
     pub deadline: Instant,
     /// The least time without a byte that counts as silence.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
 }
 
 impl CallId {
--- a/crates/endpoints/src/load.rs
+++ b/crates/endpoints/src/load.rs
@@ -79,7 +79,7 @@
         kind: Kind::Plain,
         idempotent: true,
         deadline: at,
-        silence: CANCEL,
+        silence_timeout: CANCEL,
     }
 }
 
--- a/crates/endpoints/src/run/task.rs
+++ b/crates/endpoints/src/run/task.rs
@@ -224,7 +224,7 @@
     /// Some engines send no head before the first token. Under load such an engine looks
     /// as if it had died with every new connection; given up, its work would be lost.
     async fn responds(&self) -> bool {
-        let limit = Instant::now() + self.call.silence;
+        let limit = Instant::now() + self.call.silence_timeout;
         let report = load::ask(self.call.replica, limit.min(self.call.deadline));
         report.await.is_ok()
     }
@@ -261,7 +261,7 @@
     }
 
     fn bound(&self) -> Instant {
-        let silent = Instant::now() + self.state.patience(self.call.silence);
+        let silent = Instant::now() + self.state.patience(self.call.silence_timeout);
         silent.min(self.call.deadline)
     }
 
@@ -269,7 +269,7 @@
         if Instant::now() >= self.call.deadline {
             return CallError::Deadline;
         }
-        let waited = self.state.patience(self.call.silence);
+        let waited = self.state.patience(self.call.silence_timeout);
         self.state.silences += 1;
         CallError::Silent(Span::from(waited))
     }
--- a/crates/endpoints/tests/calls.rs
+++ b/crates/endpoints/tests/calls.rs
@@ -75,7 +75,7 @@
         engine.faults.order(Fault::SilentAfter { after: 3 }, 1);
         let client = Client::new(Options::default());
         let mut call = stream_call(engine.addr, "a", 12);
-        call.silence = Duration::from_secs(60);
+        call.silence_timeout = Duration::from_secs(60);
         let mut answer = client.call(call);
         let mut tokens = Vec::new();
         while tokens.iter().sum::<u32>() < 3 {
@@ -172,7 +172,7 @@
         service.faults.order(Fault::Silent, 1);
         let client = Client::new(Options::default());
         let mut call = plain_call(service.addr, "a", false);
-        call.silence = Duration::from_secs(3600);
+        call.silence_timeout = Duration::from_secs(3600);
         let answer = client.call(call);
         eventually("the service runs it", || service.runs().contains_key("a")).await;
         drop(answer);
--- a/crates/endpoints/tests/common/mod.rs
+++ b/crates/endpoints/tests/common/mod.rs
@@ -54,7 +54,7 @@
         kind: Kind::Plain,
         idempotent,
         deadline: Instant::now() + Duration::from_secs(60),
-        silence: Duration::from_secs(1),
+        silence_timeout: Duration::from_secs(1),
     }
 }
 
--- a/crates/endpoints/tests/fuzz.rs
+++ b/crates/endpoints/tests/fuzz.rs
@@ -120,7 +120,7 @@
             Kind::Stream => stream_call(engine.addr, &id, step.tokens),
         };
         call.idempotent = step.idempotent;
-        call.silence = Duration::from_millis(40);
+        call.silence_timeout = Duration::from_millis(40);
         let faults = match step.kind {
             Kind::Plain => &service.faults,
             Kind::Stream => &engine.faults,
--- a/crates/endpoints/tests/odd_answers.rs
+++ b/crates/endpoints/tests/odd_answers.rs
@@ -51,7 +51,7 @@
     let client = Client::new(Options::default());
     let mut call = plain_call(addr, "a", false);
     // Neither bound ends a call that hangs, so that the test sees it.
-    call.silence = Duration::from_secs(3600);
+    call.silence_timeout = Duration::from_secs(3600);
     call.deadline += Duration::from_secs(3600);
     let whole = timeout(Duration::from_secs(30), client.call(call).whole()).await;
     let whole = whole.expect("the call hangs");
--- a/crates/endpoints/tests/plain_faults.rs
+++ b/crates/endpoints/tests/plain_faults.rs
@@ -203,7 +203,7 @@
         let client = client();
         service.faults.order(Fault::Delay { ms: 800 }, 1);
         let mut late = plain_call(service.addr, "a", true);
-        late.silence = Duration::from_millis(200);
+        late.silence_timeout = Duration::from_millis(200);
         let first = client.call(late).whole().await;
         assert_eq!(first.end.outcome, Outcome::MayHaveRun);
         for id in ["b", "c"] {
--- a/crates/endpoints/tests/stream_faults.rs
+++ b/crates/endpoints/tests/stream_faults.rs
@@ -200,7 +200,7 @@
             };
             let engine = standins::engine::start(opts).await.expect("a port");
             let mut call = stream_call(engine.addr, "a", 2);
-            call.silence = Duration::from_millis(50);
+            call.silence_timeout = Duration::from_millis(50);
             let right = expected(&call.body);
             let whole = client().call(call).whole().await;
             assert_eq!(whole.end.outcome, Outcome::Answered, "{:?}", whole.end);
--- a/src/router/admitted.rs
+++ b/src/router/admitted.rs
@@ -94,7 +94,7 @@
             },
             idempotent: self.idempotent,
             deadline: self.deadline,
-            silence: self.silence(),
+            silence_timeout: self.silence(),
         })
     }
 
