--- a/crates/endpoints/src/body.rs
+++ b/crates/endpoints/src/body.rs
@@ -1,9 +1,9 @@
-//! An answer as it is read: its head, then its body piece by piece.
+//! Reads an answer: its head, then its body incrementally.
 
 use {
     crate::{
         conn::Conn,
-        names,
+        header_names,
         CallError,
         Header, //
     },
@@ -24,11 +24,11 @@
     },
 };
 
-/// Most bytes passed on at once.
-const PIECE: usize = 16 * 1024;
+/// Most bytes read from a body at once.
+const READ_MAX_BYTES: usize = 16 * 1024;
 
-/// Headers that frame a message or belong to one connection.
-const FRAMING: [&str; 9] = [
+/// Headers that frame a message or apply to a single connection.
+const FRAMING_HEADERS: [&str; 9] = [
     "connection",
     "content-length",
     "keep-alive",
@@ -40,39 +40,39 @@
     "host",
 ];
 
-/// An answer whose head was read.
+/// An answer whose head has been read.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) headers: Vec<Header>,
     pub(crate) length: Option<u64>,
     conn: Conn,
-    frame: Frame,
+    framing: Framing,
     reader: Box<dyn ReadBody>,
-    keep: bool,
+    reusable: bool,
 }
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Frame {
+enum Framing {
     Empty,
-    Left(u64),
+    Remaining(u64),
     Chunked,
-    Close,
+    UntilClose,
 }
 
-/// What a body is read from.
+/// A source that a body is read from.
 trait ReadBody: Read + Unpin + Send + Sync + std::fmt::Debug {}
 
 impl<T: Read + Unpin + Send + Sync + std::fmt::Debug> ReadBody for T {}
 
-/// Returns whether a header frames a message and is not to be passed on.
-pub(crate) fn frames(name: &str) -> bool {
-    FRAMING.contains(&name)
+/// Returns whether a header frames a message and must not be forwarded.
+pub(crate) fn is_framing_header(name: &str) -> bool {
+    FRAMING_HEADERS.contains(&name)
 }
 
 impl Reply {
-    /// Takes the head, and the bytes of the body that came with it.
+    /// Parses the head; `rest` holds the bytes of the body that were read with it.
     pub(crate) async fn new(
         conn: Conn,
         head: Vec<u8>,
@@ -80,59 +80,59 @@
         bodiless: bool,
     ) -> Result<Reply, CallError> {
         // The library panics on a header value that is not ASCII, which would end the
-        // task without an outcome. Such a head never reaches it.
+        // task without an outcome, so such a head is rejected first.
         if !head.is_ascii() {
             return Err(CallError::Malformed("its head is not ASCII".to_owned()));
         }
-        let bad = |e: http_types::Error| CallError::Malformed(e.to_string());
+        let malformed = |e: http_types::Error| CallError::Malformed(e.to_string());
         let mut parsed = async_h1::client::decode(Cursor::new(head.clone()))
             .await
-            .map_err(bad)?;
+            .map_err(malformed)?;
         let status = u16::from(parsed.status());
         drop(parsed.take_body());
-        let passed = headers(&head, &parsed);
-        let frame = match () {
-            _ if bodiless || status == 204 || status == 304 => Frame::Empty,
-            _ if parsed.header("transfer-encoding").is_some() => Frame::Chunked,
+        let forwarded = forwarded_headers(&head, &parsed);
+        let framing = match () {
+            _ if bodiless || status == 204 || status == 304 => Framing::Empty,
+            _ if parsed.header("transfer-encoding").is_some() => Framing::Chunked,
             _ => match parsed.header("content-length") {
-                Some(n) => Frame::Left(n.as_str().parse().unwrap_or(0)),
-                None => Frame::Close,
+                Some(n) => Framing::Remaining(n.as_str().parse().unwrap_or(0)),
+                None => Framing::UntilClose,
             },
         };
-        // What stands behind the end of the body answers no call of ours.
-        let stray = match frame {
-            Frame::Left(n) => rest.len() as u64 > n,
-            Frame::Empty => !rest.is_empty(),
-            Frame::Chunked | Frame::Close => false,
+        // Bytes behind the end of the body belong to no call of this client.
+        let stray = match framing {
+            Framing::Remaining(n) => rest.len() as u64 > n,
+            Framing::Empty => !rest.is_empty(),
+            Framing::Chunked | Framing::UntilClose => false,
         };
-        let source = Cursor::new(rest).chain(Eager(conn.stream.clone()));
-        let reader: Box<dyn ReadBody> = match frame {
-            Frame::Chunked => {
-                let whole = Cursor::new(head).chain(source);
+        let source = Cursor::new(rest).chain(RepolledStream(conn.stream.clone()));
+        let reader: Box<dyn ReadBody> = match framing {
+            Framing::Chunked => {
+                let message = Cursor::new(head).chain(source);
                 Box::new(
-                    async_h1::client::decode(whole)
+                    async_h1::client::decode(message)
                         .await
-                        .map_err(bad)?
+                        .map_err(malformed)?
                         .take_body(),
                 )
             }
-            Frame::Empty | Frame::Left(_) | Frame::Close => Box::new(source),
+            Framing::Empty | Framing::Remaining(_) | Framing::UntilClose => Box::new(source),
         };
         let close = parsed
             .header("connection")
             .is_some_and(|v| v.as_str().eq_ignore_ascii_case("close"));
         Ok(Reply {
             status,
-            headers: passed,
-            length: match frame {
-                Frame::Left(n) => Some(n),
-                Frame::Empty => Some(0),
-                Frame::Chunked | Frame::Close => None,
+            headers: forwarded,
+            length: match framing {
+                Framing::Remaining(n) => Some(n),
+                Framing::Empty => Some(0),
+                Framing::Chunked | Framing::UntilClose => None,
             },
             conn,
-            frame,
+            framing,
             reader,
-            keep: !close && !stray && frame != Frame::Close,
+            reusable: !close && !stray && framing != Framing::UntilClose,
         })
     }
 
@@ -142,58 +142,61 @@
         Some(&found.value)
     }
 
-    /// Returns whether the endpoint says that it did not take the call.
-    pub(crate) fn refused(&self) -> bool {
-        let marked = self.header(names::LEAVING).is_some();
-        let said = self.header(names::NOT_ADMITTED).is_some();
-        self.status == 503 && (marked || said)
+    /// Returns whether the endpoint rejected the call without running it.
+    pub(crate) fn is_rejection(&self) -> bool {
+        let leaving = self.header(header_names::LEAVING).is_some();
+        let not_admitted = self.header(header_names::NOT_ADMITTED).is_some();
+        self.status == 503 && (leaving || not_admitted)
     }
 
     /// Returns whether the body is a stream of events.
-    pub(crate) fn streams(&self) -> bool {
-        let kind = self.header("content-type").unwrap_or("");
-        self.status == 200 && kind.starts_with("text/event-stream")
+    pub(crate) fn is_event_stream(&self) -> bool {
+        let content_type = self.header("content-type").unwrap_or("");
+        self.status == 200 && content_type.starts_with("text/event-stream")
     }
 
-    /// Reads the next piece of the body as it comes; none at its whole end.
-    pub(crate) async fn piece(&mut self) -> Result<Option<Vec<u8>>, CallError> {
-        let most = match self.frame {
-            Frame::Empty | Frame::Left(0) => return Ok(None),
-            Frame::Left(n) => PIECE.min(n as usize),
-            Frame::Chunked | Frame::Close => PIECE,
+    /// Reads the next bytes of the body as they arrive; none after its complete end.
+    pub(crate) async fn read_next(&mut self) -> Result<Option<Vec<u8>>, CallError> {
+        let limit = match self.framing {
+            Framing::Empty | Framing::Remaining(0) => return Ok(None),
+            Framing::Remaining(n) => READ_MAX_BYTES.min(n as usize),
+            Framing::Chunked | Framing::UntilClose => READ_MAX_BYTES,
         };
-        let mut buf = vec![0; most];
+        let mut buf = vec![0; limit];
         let n = self
             .reader
             .read(&mut buf)
             .await
-            .map_err(|_| CallError::Cut)?;
+            .map_err(|_| CallError::Truncated)?;
         buf.truncate(n);
-        match (self.frame, n) {
-            (Frame::Left(_), 0) => return Err(CallError::Cut),
+        match (self.framing, n) {
+            (Framing::Remaining(_), 0) => return Err(CallError::Truncated),
             (_, 0) => return Ok(None),
-            (Frame::Left(left), n) => self.frame = Frame::Left(left - n as u64),
+            (Framing::Remaining(remaining), n) => {
+                self.framing = Framing::Remaining(remaining - n as u64)
+            }
             _ => {}
         }
         Ok(Some(buf))
     }
 
-    /// Returns the connection if it may take another call; the body must be at its end.
-    pub(crate) fn release(self) -> Option<Conn> {
-        self.keep.then_some(self.conn)
+    /// Returns the connection if it can be reused; the body must have been read to its end.
+    pub(crate) fn into_reusable(self) -> Option<Conn> {
+        self.reusable.then_some(self.conn)
     }
 }
 
-/// Returns the headers to pass on.
+/// Returns the headers to forward.
 ///
 /// The library adds a `date` with a line end in it, which would end the head early, and a
-/// `content-type` where the endpoint sent none. Only what stands in the head is taken.
-fn headers(head: &[u8], parsed: &http_types::Response) -> Vec<Header> {
+/// `content-type` where the endpoint sent none. Only headers that the head contains are
+/// forwarded.
+fn forwarded_headers(head: &[u8], parsed: &http_types::Response) -> Vec<Header> {
     let head = String::from_utf8_lossy(head).to_ascii_lowercase();
     let sent: HashSet<&str> = head.lines().filter_map(|l| l.split(':').next()).collect();
     let mut all = Vec::new();
     for (name, values) in parsed.iter() {
-        if !sent.contains(name.as_str()) || frames(name.as_str()) {
+        if !sent.contains(name.as_str()) || is_framing_header(name.as_str()) {
             continue;
         }
         for value in values.iter() {
@@ -203,16 +206,16 @@
     all
 }
 
-/// A stream that is polled once more after each piece.
+/// A stream that is polled once more after each read.
 ///
-/// The library's decoder loses its wake-up where the trailing line end of a chunked body
-/// comes in two pieces: it reads the first and waits without having asked for the second.
-/// The call would hang to its silence bound with its whole answer there. The extra
-/// wake-up makes the decoder ask again.
+/// The library's decoder loses its wake-up if the trailing line end of a chunked body
+/// arrives in two parts: it reads the first and waits without polling for the second. The
+/// call would hang until its silence timeout although its answer is complete. The extra
+/// wake-up makes the decoder poll again.
 #[derive(Debug)]
-struct Eager(TcpStream);
+struct RepolledStream(TcpStream);
 
-impl Read for Eager {
+impl Read for RepolledStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/endpoints/src/call.rs
+++ b/crates/endpoints/src/call.rs
@@ -1,4 +1,4 @@
-//! What is asked of an endpoint.
+//! A call to an endpoint and its id.
 
 use {
     http_types::Method,
@@ -16,23 +16,23 @@
 };
 
 /// Longest id, in bytes.
-const ID_MAX: usize = 128;
+const ID_MAX_BYTES: usize = 128;
 
 /// The id of one call, unique in the fleet; the answer must echo it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CallId(Arc<str>);
 
-/// The text is no id of a call.
+/// The text is not a valid call id.
 #[derive(Debug, Error, PartialEq, Eq)]
-#[error("`{0}` is no id of a call; use 1 to {ID_MAX} letters, digits or any of `-_.:`")]
+#[error("`{0}` is no id of a call; use 1 to {ID_MAX_BYTES} letters, digits or any of `-_.:`")]
 pub struct CallIdError(String);
 
 /// How an endpoint answers a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// By one answer.
+    /// With one response.
     Plain,
-    /// By a stream of server-sent events, which can be resumed and cancelled.
+    /// With a stream of server-sent events, which can be resumed and cancelled.
     Stream,
 }
 
@@ -56,17 +56,17 @@
     pub method: Method,
     /// The path and query, from `/` on.
     pub path: String,
-    /// Headers to pass on; those that frame the message are set by the client.
+    /// Headers to forward; the client sets those that frame the message.
     pub headers: Vec<Header>,
-    /// The whole body.
+    /// The complete body.
     pub body: Arc<[u8]>,
     /// How it is answered.
     pub kind: Kind,
-    /// Whether it may run twice.
+    /// Whether it may run more than once.
     pub idempotent: bool,
-    /// When the answer is of no use any more.
+    /// When the caller stops waiting for the answer.
     pub deadline: Instant,
-    /// The least time without a byte that counts as silence.
+    /// The shortest time without a byte after which the endpoint counts as silent.
     pub silence_timeout: Duration,
 }
 
@@ -88,7 +88,7 @@
 
     fn from_str(s: &str) -> Result<CallId, CallIdError> {
         let allowed = |c: char| c.is_ascii_alphanumeric() || "-_.:".contains(c);
-        if s.is_empty() || s.len() > ID_MAX || !s.chars().all(allowed) {
+        if s.is_empty() || s.len() > ID_MAX_BYTES || !s.chars().all(allowed) {
             return Err(CallIdError(s.to_owned()));
         }
         Ok(CallId(Arc::from(s)))
@@ -96,7 +96,7 @@
 }
 
 impl Header {
-    /// Makes a header field.
+    /// Creates a header field with a lower-case name.
     ///
     /// # Examples
     ///
--- a/crates/endpoints/src/client.rs
+++ b/crates/endpoints/src/client.rs
@@ -2,12 +2,12 @@
 
 use {
     crate::{
-        kept::Kept,
         load::{
             self,
             Load, //
         },
-        run::Run,
+        pool::ConnectionPool,
+        run::CallTask,
         Call,
         CallError,
         End,
@@ -34,101 +34,101 @@
     },
 };
 
-/// How many events may wait for the caller.
-const EVENTS: usize = 16;
+/// How many events are buffered for the caller.
+const EVENT_BUFFER: usize = 16;
 
-/// How a client deals with connections.
+/// Limits of a client's connections and resumes.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// How long a connection may take to open.
-    pub connect: Duration,
-    /// How long a connection is kept without a call.
-    pub idle: Duration,
-    /// How many connections are kept to one endpoint.
-    pub kept: usize,
-    /// How often a stream that broke is resumed without any progress between.
-    pub resumes: u32,
+    pub connect_timeout: Duration,
+    /// How long an idle connection is kept.
+    pub idle_timeout: Duration,
+    /// How many idle connections are kept per endpoint.
+    pub max_idle: usize,
+    /// How often a broken stream is resumed without progress in between.
+    pub max_resumes: u32,
 }
 
-/// Calls endpoints, over connections that it keeps for each of them.
+/// Calls endpoints, with a connection pool for each.
 #[derive(Debug, Clone)]
 pub struct Client {
     pub(crate) inner: Arc<Inner>,
 }
 
-/// What the calls of a client share.
+/// State that the calls of a client share.
 #[derive(Debug)]
 pub(crate) struct Inner {
     pub(crate) opts: Options,
-    pub(crate) kept: Kept,
+    pub(crate) pool: ConnectionPool,
 }
 
-/// The answer to a call as it comes; dropping it cancels the call.
+/// The answer to a call as it arrives; dropping it cancels the call.
 #[derive(Debug)]
 pub struct Answer {
     events: Receiver<Event>,
     ended: bool,
-    _held: Sender<()>,
+    _cancel_on_drop: Sender<()>,
 }
 
-/// A whole answer with its end.
+/// A collected answer and how it ended.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Whole {
-    /// The status, 0 where no answer began.
+pub struct CompleteAnswer {
+    /// The status, or 0 if no answer began.
     pub status: u16,
     /// The headers.
     pub headers: Vec<Header>,
-    /// What came of the body.
+    /// The part of the body that was received.
     pub body: Vec<u8>,
-    /// The end.
+    /// How the call ended.
     pub end: End,
 }
 
 impl Default for Options {
     fn default() -> Options {
         Options {
-            connect: Duration::from_secs(1),
-            idle: Duration::from_secs(15),
-            kept: 128,
-            resumes: 3,
+            connect_timeout: Duration::from_secs(1),
+            idle_timeout: Duration::from_secs(15),
+            max_idle: 128,
+            max_resumes: 3,
         }
     }
 }
 
 impl Client {
-    /// Makes a client without a connection.
+    /// Creates a client without connections.
     pub fn new(opts: Options) -> Client {
-        let kept = Kept::new(opts.kept, opts.idle);
+        let pool = ConnectionPool::new(opts.max_idle, opts.idle_timeout);
         Client {
-            inner: Arc::new(Inner { opts, kept }),
+            inner: Arc::new(Inner { opts, pool }),
         }
     }
 
     /// Starts a call.
     pub fn call(&self, call: Call) -> Answer {
-        let (tx, events) = bounded(EVENTS);
-        let (held, gone) = bounded(1);
-        let run = Run::new(self.inner.clone(), call, tx);
-        spawn(run.drive(gone));
+        let (tx, events) = bounded(EVENT_BUFFER);
+        let (cancel_on_drop, cancelled) = bounded(1);
+        let task = CallTask::new(self.inner.clone(), call, tx);
+        spawn(task.run(cancelled));
         Answer {
             events,
             ended: false,
-            _held: held,
+            _cancel_on_drop: cancel_on_drop,
         }
     }
 
-    /// Asks an endpoint for its load, which may be late.
+    /// Fetches the load report of an endpoint; the figures may be out of date.
     ///
     /// # Errors
     ///
-    /// The endpoint gave no report in time, or one that was not understood.
-    pub async fn load(&self, addr: SocketAddr, within: Duration) -> Result<Load, CallError> {
-        load::ask(addr, Instant::now() + within).await
+    /// The endpoint sent no report in time, or an invalid one.
+    pub async fn load(&self, addr: SocketAddr, timeout: Duration) -> Result<Load, CallError> {
+        load::fetch_report(addr, Instant::now() + timeout).await
     }
 
-    /// Closes the kept connections to an endpoint, such as one that has left.
-    pub fn forget(&self, addr: SocketAddr) {
-        self.inner.kept.forget(addr);
+    /// Closes the idle connections to an endpoint, such as one that has left.
+    pub fn close_idle(&self, addr: SocketAddr) {
+        self.inner.pool.close_idle(addr);
     }
 }
 
@@ -138,16 +138,20 @@
         if self.ended {
             return None;
         }
-        let event = self.events.recv().await.unwrap_or_else(|_| lost());
+        let event = self
+            .events
+            .recv()
+            .await
+            .unwrap_or_else(|_| task_lost_event());
         self.ended = matches!(event, Event::End(_));
         Some(event)
     }
 
-    /// Waits for the end and returns all that came.
-    pub async fn whole(mut self) -> Whole {
+    /// Waits for the end and returns all that was received.
+    pub async fn collect(mut self) -> CompleteAnswer {
         let (mut status, mut headers, mut body) = (0, Vec::new(), Vec::new());
         loop {
-            match self.next().await.unwrap_or_else(lost) {
+            match self.next().await.unwrap_or_else(task_lost_event) {
                 Event::Head {
                     status: s,
                     headers: h,
@@ -155,7 +159,7 @@
                 } => (status, headers) = (s, h),
                 Event::Data { bytes, .. } => body.extend_from_slice(&bytes),
                 Event::End(end) => {
-                    return Whole {
+                    return CompleteAnswer {
                         status,
                         headers,
                         body,
@@ -167,8 +171,8 @@
     }
 }
 
-/// The end of a call whose task ended without one.
-fn lost() -> Event {
+/// Returns the end event of a call whose task ended without sending one.
+fn task_lost_event() -> Event {
     Event::End(End {
         outcome: Outcome::MayHaveRun,
         tokens: 0,
--- a/crates/endpoints/src/event.rs
+++ b/crates/endpoints/src/event.rs
@@ -1,4 +1,4 @@
-//! What a call yields while it runs.
+//! Events that a call yields while it runs.
 
 use {
     crate::{
@@ -11,43 +11,43 @@
     },
 };
 
-/// What a call yields, in order: at most one head, data, one end.
+/// An event of a call. In order: at most one head, any data, one end.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The head of the answer, once its id was found right.
+    /// The head of the answer, after its id was checked.
     Head {
         /// The status.
         status: u16,
         /// The headers, without those that frame the message.
         headers: Vec<Header>,
-        /// The length of the body, where it is known beforehand.
+        /// The length of the body, if the head states it.
         length: Option<u64>,
     },
-    /// A part of the body; of a stream only whole server-sent events.
+    /// A part of the body; for a stream, complete server-sent events only.
     Data {
         /// The bytes.
         bytes: Vec<u8>,
         /// How many tokens they carry.
         tokens: u32,
     },
-    /// The end, always the last.
+    /// The end, always the last event.
     End(End),
 }
 
 /// How a call ended.
 #[derive(Debug, Clone, PartialEq)]
 pub struct End {
-    /// No more than is known.
+    /// The outcome; claims no more than is known.
     pub outcome: Outcome,
-    /// Tokens passed on.
+    /// Tokens forwarded.
     pub tokens: u32,
     /// Time from the request to the first token.
     pub first_token: Option<Span>,
     /// Mean time between tokens.
     pub token_gap: Option<Span>,
-    /// What went wrong, if anything did.
+    /// The error, if there was one.
     pub cause: Option<CallError>,
-    /// Whether the endpoint said that it is leaving.
+    /// Whether the endpoint reported that it is leaving.
     pub leaving: bool,
     /// How often the stream was resumed.
     pub resumed: u32,
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -1,6 +1,6 @@
 //! Calls to endpoints: plain and streamed, with resume and cancel.
 //!
-//! All that touches `async-std` and `async-h1` on the way to an endpoint stands here.
+//! Code on the path to endpoints uses `async-std` and `async-h1` only in this crate.
 
 mod body;
 mod call;
@@ -8,9 +8,9 @@
 mod conn;
 mod error;
 mod event;
-mod kept;
+mod header_names;
 mod load;
-mod names;
+mod pool;
 mod request;
 mod run;
 mod sse;
@@ -26,8 +26,8 @@
     client::{
         Answer,
         Client,
+        CompleteAnswer, //
         Options,
-        Whole, //
     },
     error::CallError,
     event::{
--- a/crates/endpoints/src/load.rs
+++ b/crates/endpoints/src/load.rs
@@ -1,9 +1,9 @@
-//! Load reports of endpoints, and cancels: short exchanges beside the calls.
+//! Fetches load reports and cancels streams, on separate short-lived connections.
 
 use {
     crate::{
         conn::{
-            until,
+            with_deadline,
             Conn, //
         },
         request,
@@ -29,36 +29,41 @@
 };
 
 /// Longest load report accepted, in bytes.
-const REPORT_MAX: usize = 64 * 1024;
+const REPORT_MAX_BYTES: usize = 64 * 1024;
 
-/// How long a cancel may take.
-const CANCEL: Duration = Duration::from_secs(2);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What an endpoint says of its load, some time after it was true.
+/// The load that an endpoint reported; it may be out of date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Load {
-    /// Requests that run.
+    /// Requests that are running.
     pub running: u32,
-    /// Requests taken in that wait.
+    /// Admitted requests that are waiting.
     pub waiting: u32,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Requests that run at full speed together, where it says so.
+    /// Requests that can run concurrently at full speed, if reported.
     pub capacity: Option<u32>,
 }
 
-/// Asks for a load report.
-pub(crate) async fn ask(addr: SocketAddr, at: Instant) -> Result<Load, CallError> {
-    let call = short(addr, Method::Get, "/load".to_owned(), load_id(), at);
+/// Fetches a load report before the deadline.
+pub(crate) async fn fetch_report(addr: SocketAddr, deadline: Instant) -> Result<Load, CallError> {
+    let call = control_call(addr, Method::Get, "/load".to_owned(), load_id(), deadline);
     let body = exchange(&call).await?;
-    serde_json::from_slice(&body).map_err(|e| CallError::Report(e.to_string()))
+    serde_json::from_slice(&body).map_err(|e| CallError::InvalidReport(e.to_string()))
 }
 
-/// Tells an endpoint that nobody waits for a stream any more.
+/// Notifies an endpoint that a stream is no longer needed.
 pub(crate) async fn cancel(addr: SocketAddr, id: CallId) {
     let path = format!("/v1/cancel/{id}");
-    let call = short(addr, Method::Post, path, id, Instant::now() + CANCEL);
+    let call = control_call(
+        addr,
+        Method::Post,
+        path,
+        id,
+        Instant::now() + CANCEL_TIMEOUT,
+    );
     if let Err(e) = exchange(&call).await {
         log::debug!("endpoints: cancel of {} at {addr} failed: {e}", call.id);
     }
@@ -68,7 +73,13 @@
     "load".parse().expect("a valid id")
 }
 
-fn short(addr: SocketAddr, method: Method, path: String, id: CallId, at: Instant) -> Call {
+fn control_call(
+    addr: SocketAddr,
+    method: Method,
+    path: String,
+    id: CallId,
+    deadline: Instant,
+) -> Call {
     Call {
         id,
         replica: addr,
@@ -78,24 +89,24 @@
         body: Arc::from([]),
         kind: Kind::Plain,
         idempotent: true,
-        deadline: at,
-        silence_timeout: CANCEL,
+        deadline,
+        silence_timeout: CANCEL_TIMEOUT,
     }
 }
 
 async fn exchange(call: &Call) -> Result<Vec<u8>, CallError> {
     let started = Instant::now();
-    let late = || CallError::Silent(Span::from(started.elapsed()));
-    until(call.deadline, async {
+    let timed_out = || CallError::Silent(Span::from(started.elapsed()));
+    with_deadline(call.deadline, async {
         let mut conn = Conn::open(call.replica, call.deadline).await?;
-        let bytes = request::bytes(call, None).await?;
+        let bytes = request::encode(call, None).await?;
         conn.write_all(&bytes).await?;
-        let mut reply = conn.reply(false).await?;
+        let mut reply = conn.read_reply(false).await?;
         let mut body = Vec::new();
-        while let Some(piece) = reply.piece().await? {
-            body.extend_from_slice(&piece);
-            if body.len() > REPORT_MAX {
-                return Err(CallError::Report("it is too long".to_owned()));
+        while let Some(bytes) = reply.read_next().await? {
+            body.extend_from_slice(&bytes);
+            if body.len() > REPORT_MAX_BYTES {
+                return Err(CallError::InvalidReport("it is too long".to_owned()));
             }
         }
         match reply.status {
@@ -104,5 +115,5 @@
         }
     })
     .await
-    .ok_or_else(late)?
+    .ok_or_else(timed_out)?
 }
--- a/crates/endpoints/src/run/mod.rs
+++ b/crates/endpoints/src/run/mod.rs
@@ -1,8 +1,8 @@
-//! A call under way: its tries, what it passes on, and what is known of it.
+//! Runs a call: its attempts, the forwarded answer, and its progress.
 
-mod plain;
+mod call_task;
+mod forward_plain;
+mod forward_stream;
 mod progress;
-mod stream;
-mod task;
 
-pub(crate) use self::task::Run;
+pub(crate) use self::call_task::CallTask;
--- a/crates/endpoints/src/run/progress.rs
+++ b/crates/endpoints/src/run/progress.rs
@@ -1,4 +1,4 @@
-//! What is known of a call under way.
+//! Progress of a call through its attempts.
 
 use {
     crate::{
@@ -16,119 +16,119 @@
     },
 };
 
-/// A stream is silent after this many times its usual gap.
-const GAPS: u32 = 16;
+/// A stream counts as silent after this many times its mean token gap.
+const SILENCE_GAPS: u32 = 16;
 
-/// Most often that the silence bound is doubled.
-const DOUBLINGS: u32 = 6;
+/// How often the silence timeout is doubled at most.
+const MAX_DOUBLINGS: u32 = 6;
 
-/// What is known of a call under way.
+/// Progress of a call through its attempts.
 #[derive(Debug)]
 pub(crate) struct Progress {
-    /// Whether a byte of the request was written to an endpoint by this try.
+    /// Whether this attempt wrote a byte of the request to an endpoint.
     pub(crate) wrote: bool,
-    /// Whether an earlier try wrote one.
-    pub(crate) spent: bool,
-    /// Whether the head was passed on.
-    pub(crate) head: bool,
-    /// Whether the endpoint said that a resume never runs the call again.
+    /// Whether an earlier attempt wrote one.
+    pub(crate) wrote_before: bool,
+    /// Whether the head was forwarded.
+    pub(crate) head_sent: bool,
+    /// Whether the endpoint stated that a resume never runs the call again.
     pub(crate) resumable: bool,
-    /// Whether the endpoint said that it is leaving.
+    /// Whether the endpoint reported that it is leaving.
     pub(crate) leaving: bool,
-    /// Whether the endpoint agreed to go on with the stream in this try.
-    pub(crate) alive: bool,
-    /// Tokens passed on.
+    /// Whether the endpoint answered a resume, or a load request, in this attempt.
+    pub(crate) responsive: bool,
+    /// Tokens forwarded.
     pub(crate) tokens: u32,
-    /// Number of the last event passed on that carries a token.
-    pub(crate) number: Option<u32>,
-    /// Whether the event that ends the text was passed on.
+    /// Number of the last token event that was forwarded.
+    pub(crate) last_number: Option<u32>,
+    /// Whether the event with the finish reason was forwarded.
     pub(crate) finished: bool,
-    /// Tries since the last progress.
+    /// Failed attempts since the last token.
     pub(crate) failures: u32,
-    /// How often it was silent since the last token.
+    /// How often the endpoint was silent since the last token.
     pub(crate) silences: u32,
-    /// Whether it was begun anew after the endpoint had nothing to resume.
-    pub(crate) renewed: bool,
-    /// How often it was resumed.
+    /// Whether the call was restarted after the endpoint could not resume it.
+    pub(crate) restarted: bool,
+    /// How often the stream was resumed.
     pub(crate) resumed: u32,
     started: Instant,
-    first: Option<Instant>,
-    last: Option<Instant>,
+    first_token_at: Option<Instant>,
+    last_token_at: Option<Instant>,
 }
 
 impl Progress {
     pub(crate) fn new() -> Progress {
         Progress {
             wrote: false,
-            spent: false,
-            head: false,
+            wrote_before: false,
+            head_sent: false,
             resumable: false,
             leaving: false,
-            alive: false,
+            responsive: false,
             tokens: 0,
-            number: None,
+            last_number: None,
             finished: false,
             failures: 0,
             silences: 0,
-            renewed: false,
+            restarted: false,
             resumed: 0,
             started: Instant::now(),
-            first: None,
-            last: None,
+            first_token_at: None,
+            last_token_at: None,
         }
     }
 
-    /// Notes a token that was passed on.
-    pub(crate) fn token(&mut self, sse: &Sse) {
+    /// Records a forwarded token.
+    pub(crate) fn record_token(&mut self, sse: &Sse) {
         let now = Instant::now();
-        self.first.get_or_insert(now);
-        self.last = Some(now);
+        self.first_token_at.get_or_insert(now);
+        self.last_token_at = Some(now);
         self.tokens += 1;
-        self.number = sse.number;
-        self.finished |= sse.last;
+        self.last_number = sse.number;
+        self.finished |= sse.finishes;
         self.failures = 0;
         self.silences = 0;
     }
 
-    /// Returns whether no further resume is worth it.
+    /// Returns whether no further resume is allowed.
     ///
-    /// An engine under load can be silent for long and well all the same: it agrees to go
-    /// on each time. Such tries only count against the doublings of the silence bound.
-    pub(crate) fn spent_all(&self, resumes: u32) -> bool {
-        self.failures > resumes || self.silences > DOUBLINGS
+    /// A healthy engine under load can be silent for long, but accepts each resume. Such
+    /// attempts count only against the doublings of the silence timeout.
+    pub(crate) fn resumes_exhausted(&self, max_resumes: u32) -> bool {
+        self.failures > max_resumes || self.silences > MAX_DOUBLINGS
     }
 
-    /// Returns how long nothing may come before it counts as silence.
+    /// Returns the time without a byte after which the endpoint counts as silent.
     ///
-    /// Each silence without a token after it doubles the bound, so an engine that is only
-    /// slow is probed less and less often.
-    pub(crate) fn patience(&self, least: Duration) -> Duration {
-        let usual = self.mean().unwrap_or(Duration::ZERO) * GAPS;
-        usual.max(least) * 2u32.pow(self.silences.min(DOUBLINGS))
+    /// Each silence since the last token doubles the timeout, so that an engine that is
+    /// only slow is probed less and less often.
+    pub(crate) fn silence_timeout(&self, min_timeout: Duration) -> Duration {
+        let scaled_gap = self.mean_gap().unwrap_or(Duration::ZERO) * SILENCE_GAPS;
+        scaled_gap.max(min_timeout) * 2u32.pow(self.silences.min(MAX_DOUBLINGS))
     }
 
-    /// Returns the end, with an outcome that says no more than is known.
+    /// Returns the end, with an outcome that claims no more than is known.
     pub(crate) fn end(&self, cause: Option<CallError>) -> End {
         let outcome = match cause {
             None => Outcome::Answered,
             Some(CallError::Status(_)) => Outcome::Failed,
-            Some(CallError::NotAdmitted) if !self.spent => Outcome::NotRun,
-            Some(_) if !self.spent && !self.wrote => Outcome::NotRun,
+            Some(CallError::NotAdmitted) if !self.wrote_before => Outcome::NotRun,
+            Some(_) if !self.wrote_before && !self.wrote => Outcome::NotRun,
             Some(_) => Outcome::MayHaveRun,
         };
         End {
             outcome,
             tokens: self.tokens,
-            first_token: self.first.map(|t| Span::from(t - self.started)),
-            token_gap: self.mean().map(Span::from),
+            first_token: self.first_token_at.map(|t| Span::from(t - self.started)),
+            token_gap: self.mean_gap().map(Span::from),
             cause,
             leaving: self.leaving,
             resumed: self.resumed,
         }
     }
 
-    fn mean(&self) -> Option<Duration> {
-        let (first, last) = (self.first?, self.last?);
+    fn mean_gap(&self) -> Option<Duration> {
+        let (first, last) = (self.first_token_at?, self.last_token_at?);
         let gaps = self.tokens.checked_sub(1).filter(|n| *n > 0)?;
         Some((last - first) / gaps)
     }
--- a/crates/endpoints/src/sse.rs
+++ b/crates/endpoints/src/sse.rs
@@ -1,93 +1,93 @@
-//! Server-sent events, split into whole ones as they come.
+//! Splits a byte stream into server-sent events.
 
-/// Most bytes held of an event that has no end yet.
-const EVENT_MAX: usize = 1 << 20;
+/// Most bytes buffered without a complete event.
+const EVENT_MAX_BYTES: usize = 1 << 20;
 
-/// Splits bytes into whole events.
+/// Splits bytes into complete events.
 #[derive(Debug, Default)]
 pub(crate) struct Splitter {
     buf: Vec<u8>,
 }
 
-/// One whole event.
+/// A complete event.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Sse {
     /// Its bytes, with the empty line that ends it.
     pub(crate) bytes: Vec<u8>,
-    /// Its number in the stream, where it carries one.
+    /// Its number in the stream, if it carries one.
     pub(crate) number: Option<u32>,
-    /// What it stands for.
-    pub(crate) part: Part,
-    /// Whether it says that the text ends with it.
-    pub(crate) last: bool,
+    /// Its kind.
+    pub(crate) kind: SseKind,
+    /// Whether it gives a finish reason, so that the text ends with it.
+    pub(crate) finishes: bool,
 }
 
-/// What an event stands for.
+/// The kind of an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Part {
+pub(crate) enum SseKind {
     /// A token.
     Token,
     /// The end of the stream.
     Done,
-    /// Nothing, such as a comment that keeps the connection open.
+    /// No data, such as a keep-alive comment.
     Empty,
 }
 
 impl Splitter {
-    /// Adds bytes as they came; false where an event has grown beyond all bounds.
+    /// Adds received bytes; false if an event exceeds the size limit.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> bool {
         self.buf.extend_from_slice(bytes);
-        self.buf.len() <= EVENT_MAX
+        self.buf.len() <= EVENT_MAX_BYTES
     }
 
-    /// Takes the next whole event.
+    /// Removes and returns the next complete event.
     pub(crate) fn next(&mut self) -> Option<Sse> {
-        let end = boundary(&self.buf)?;
+        let end = first_event_len(&self.buf)?;
         let bytes: Vec<u8> = self.buf.drain(..end).collect();
         Some(parse(bytes))
     }
 }
 
-/// Returns the length of the first whole event, with the empty line that ends it.
-fn boundary(buf: &[u8]) -> Option<usize> {
-    let mut line = 0;
+/// Returns the length of the first complete event, with the empty line that ends it.
+fn first_event_len(buf: &[u8]) -> Option<usize> {
+    let mut line_start = 0;
     for (i, b) in buf.iter().enumerate() {
         if *b != b'\n' {
             continue;
         }
-        if matches!(&buf[line..i], b"" | b"\r") && line > 0 {
+        if matches!(&buf[line_start..i], b"" | b"\r") && line_start > 0 {
             return Some(i + 1);
         }
-        line = i + 1;
+        line_start = i + 1;
     }
     None
 }
 
 fn parse(bytes: Vec<u8>) -> Sse {
     let text = String::from_utf8_lossy(&bytes);
-    let (mut number, mut part, mut last) = (None, Part::Empty, false);
+    let (mut number, mut kind, mut finishes) = (None, SseKind::Empty, false);
     for line in text.lines() {
         if let Some(value) = line.strip_prefix("id:") {
             number = value.trim().parse().ok();
         }
         if let Some(value) = line.strip_prefix("data:") {
-            last = finishes(value);
-            part = match value.trim() {
-                "[DONE]" => Part::Done,
-                _ => Part::Token,
+            finishes = has_finish_reason(value);
+            kind = match value.trim() {
+                "[DONE]" => SseKind::Done,
+                _ => SseKind::Token,
             };
         }
     }
     Sse {
         number,
-        part,
-        last,
+        kind,
+        finishes,
         bytes,
     }
 }
 
 /// Returns whether a chunk of a completion gives a reason why the text ends.
-fn finishes(chunk: &str) -> bool {
+fn has_finish_reason(chunk: &str) -> bool {
     let Some((_, rest)) = chunk.split_once("\"finish_reason\"") else {
         return false;
     };
--- a/crates/endpoints/tests/calls.rs
+++ b/crates/endpoints/tests/calls.rs
@@ -36,7 +36,7 @@
         let client = Client::new(Options::default());
         let whole = client
             .call(plain_call(service.addr, "a", true))
-            .whole()
+            .collect()
             .await;
         assert_eq!(whole.end.outcome, Outcome::Answered);
         assert_eq!(whole.status, 200);
@@ -55,7 +55,7 @@
         let client = Client::new(Options::default());
         let call = stream_call(engine.addr, "a", 12);
         let right = expected(&call.body);
-        let whole = client.call(call).whole().await;
+        let whole = client.call(call).collect().await;
         assert_eq!(whole.end.outcome, Outcome::Answered);
         assert_eq!(text(&whole.body), right);
         assert_eq!(whole.end.tokens, 12);
@@ -95,7 +95,7 @@
         for id in ["a", "b", "c"] {
             let whole = client
                 .call(plain_call(service.addr, id, true))
-                .whole()
+                .collect()
                 .await;
             assert_eq!(whole.end.outcome, Outcome::Answered);
         }
@@ -103,7 +103,7 @@
         // What may not run twice takes a connection of its own.
         let whole = client
             .call(plain_call(service.addr, "d", false))
-            .whole()
+            .collect()
             .await;
         assert_eq!(whole.end.outcome, Outcome::Answered);
         assert_eq!(service.connections(), 2);
@@ -119,7 +119,7 @@
         for n in 0..100 {
             let before = engine.connections();
             let call = stream_call(engine.addr, &format!("a{n}"), 2);
-            client.call(call).whole().await;
+            client.call(call).collect().await;
             if engine.connections() == before {
                 return;
             }
@@ -145,7 +145,7 @@
             }
             let calls: Vec<_> = (0..64)
                 .map(|n| plain_call(service.addr, &format!("{round}.{n}"), true))
-                .map(|c| (c.body.clone(), spawn(client.call(c).whole())))
+                .map(|c| (c.body.clone(), spawn(client.call(c).collect())))
                 .collect();
             let mut answered = 0;
             for (body, call) in calls {
@@ -187,7 +187,7 @@
         let client = Client::new(Options::default());
         let mut call = plain_call(service.addr, "a", false);
         call.body = vec![b'x'; 8 << 20].into();
-        let whole = client.call(call.clone()).whole().await;
+        let whole = client.call(call.clone()).collect().await;
         assert_eq!(whole.end.outcome, Outcome::Answered);
         assert_eq!(
             whole.body,
--- a/crates/endpoints/tests/fuzz.rs
+++ b/crates/endpoints/tests/fuzz.rs
@@ -128,7 +128,7 @@
         faults.clear();
         step.faults.iter().for_each(|f| faults.order(*f, 1));
         let body = call.body.clone();
-        let whole = client.call(call).whole().await;
+        let whole = client.call(call).collect().await;
         if whole.end.outcome == Outcome::Answered {
             match step.kind {
                 Kind::Plain => {
--- a/crates/endpoints/tests/odd_answers.rs
+++ b/crates/endpoints/tests/odd_answers.rs
@@ -23,16 +23,16 @@
     endpoints::{
         CallError,
         Client,
+        CompleteAnswer, //
         Header,
         Options,
-        Whole, //
     },
     policy::Outcome,
     std::time::Duration,
 };
 
 /// Calls an endpoint that answers anything with these bytes, piece by piece, and closes.
-async fn answered(pieces: &'static [&'static str]) -> Whole {
+async fn answered(pieces: &'static [&'static str]) -> CompleteAnswer {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address");
     let server = spawn(async move {
@@ -53,7 +53,7 @@
     // Neither bound ends a call that hangs, so that the test sees it.
     call.silence_timeout = Duration::from_secs(3600);
     call.deadline += Duration::from_secs(3600);
-    let whole = timeout(Duration::from_secs(30), client.call(call).whole()).await;
+    let whole = timeout(Duration::from_secs(30), client.call(call).collect()).await;
     let whole = whole.expect("the call hangs");
     drop(client);
     server.cancel().await;
@@ -153,9 +153,12 @@
         for value in ["a\r\nx-admin: 1", "Ren\u{e9}e", "\u{0}"] {
             let mut call = plain_call(service.addr, "a", false);
             call.headers.push(Header::new("x-by", value));
-            let whole = client.call(call).whole().await;
+            let whole = client.call(call).collect().await;
             assert_eq!(whole.end.outcome, Outcome::NotRun);
-            assert!(matches!(whole.end.cause, Some(CallError::Request(_))));
+            assert!(matches!(
+                whole.end.cause,
+                Some(CallError::InvalidRequest(_))
+            ));
         }
         assert_eq!(service.connections(), 0);
     });
@@ -178,7 +181,7 @@
         ] {
             call.headers.push(Header::new(name, value));
         }
-        let whole = client.call(call).whole().await;
+        let whole = client.call(call).collect().await;
         assert_eq!(whole.end.outcome, Outcome::Answered);
         assert_eq!(service.runs()["a"], 1);
     });
--- a/crates/endpoints/tests/plain_faults.rs
+++ b/crates/endpoints/tests/plain_faults.rs
@@ -12,8 +12,8 @@
     endpoints::{
         CallError,
         Client,
+        CompleteAnswer, //
         Options,
-        Whole, //
     },
     policy::Outcome,
     standins::{
@@ -34,10 +34,10 @@
 }
 
 /// Makes a call that may not run twice, with one fault.
-async fn once(service: &Handle, fault: Fault) -> Whole {
+async fn once(service: &Handle, fault: Fault) -> CompleteAnswer {
     service.faults.order(fault, 1);
     let call = plain_call(service.addr, "a", false);
-    client().call(call).whole().await
+    client().call(call).collect().await
 }
 
 fn right(id: &str) -> Vec<u8> {
@@ -53,7 +53,7 @@
         let free = TcpListener::bind("127.0.0.1:0").expect("a port");
         let addr = free.local_addr().expect("an address");
         drop(free);
-        let whole = client().call(plain_call(addr, "a", false)).whole().await;
+        let whole = client().call(plain_call(addr, "a", false)).collect().await;
         assert_eq!(whole.end.outcome, Outcome::NotRun);
         assert!(matches!(whole.end.cause, Some(CallError::Connect(_))));
     });
@@ -94,7 +94,7 @@
             let service = service().await;
             let whole = once(&service, fault).await;
             assert_eq!(whole.end.outcome, Outcome::MayHaveRun, "{fault:?}");
-            assert_eq!(whole.end.cause, Some(CallError::Cut), "{fault:?}");
+            assert_eq!(whole.end.cause, Some(CallError::Truncated), "{fault:?}");
             assert_eq!(service.runs()["a"], 1);
         }
     });
@@ -138,7 +138,7 @@
         let service = service().await;
         service.leave(true);
         let call = plain_call(service.addr, "a", false);
-        let whole = client().call(call).whole().await;
+        let whole = client().call(call).collect().await;
         assert_eq!(whole.end.outcome, Outcome::NotRun);
         assert!(whole.end.leaving);
         assert_eq!(service.runs().get("a"), None);
@@ -154,13 +154,13 @@
         let client = client();
         client
             .call(plain_call(service.addr, "a", true))
-            .whole()
+            .collect()
             .await;
         service.faults.order(Fault::ResetUnanswered, 1);
         service.faults.order(Fault::Refuse, 1);
         let whole = client
             .call(plain_call(service.addr, "b", true))
-            .whole()
+            .collect()
             .await;
         assert_eq!(whole.end.outcome, Outcome::MayHaveRun);
         assert_eq!(service.runs()["b"], 1);
@@ -179,13 +179,13 @@
             service.faults.order(fault, 1);
             let whole = client
                 .call(plain_call(service.addr, "a", true))
-                .whole()
+                .collect()
                 .await;
             assert_eq!(whole.end.outcome, Outcome::MayHaveRun);
             assert_eq!((whole.status, whole.body.len()), (0, 0), "{fault:?}");
             let whole = client
                 .call(plain_call(service.addr, "b", true))
-                .whole()
+                .collect()
                 .await;
             assert_eq!(whole.body, right("b"));
             assert_eq!(service.connections(), 2);
@@ -204,12 +204,12 @@
         service.faults.order(Fault::Delay { ms: 800 }, 1);
         let mut late = plain_call(service.addr, "a", true);
         late.silence_timeout = Duration::from_millis(200);
-        let first = client.call(late).whole().await;
+        let first = client.call(late).collect().await;
         assert_eq!(first.end.outcome, Outcome::MayHaveRun);
         for id in ["b", "c"] {
             let whole = client
                 .call(plain_call(service.addr, id, true))
-                .whole()
+                .collect()
                 .await;
             assert_eq!(whole.body, right(id));
         }
@@ -229,7 +229,7 @@
             for id in ["a", "b", "c"] {
                 let whole = client
                     .call(plain_call(service.addr, id, true))
-                    .whole()
+                    .collect()
                     .await;
                 assert_eq!(whole.end.outcome, Outcome::Answered);
                 assert_eq!(whole.body, right(id));
@@ -254,13 +254,13 @@
         service.faults.order(Fault::Delay { ms: 300 }, 2);
         let first = client.call(plain_call(service.addr, "a0", true));
         let second = client.call(plain_call(service.addr, "a1", true));
-        first.whole().await;
-        second.whole().await;
+        first.collect().await;
+        second.collect().await;
         let kept = service.connections();
         service.faults.order(Fault::Ignored, 1);
         let whole = client
             .call(plain_call(service.addr, "b", true))
-            .whole()
+            .collect()
             .await;
         assert_eq!(whole.end.outcome, Outcome::Answered);
         assert_eq!(whole.body, right("b"));
@@ -278,12 +278,12 @@
         let client = client();
         client
             .call(plain_call(service.addr, "a", true))
-            .whole()
+            .collect()
             .await;
         service.faults.order(Fault::ResetUnread, 1);
         let whole = client
             .call(plain_call(service.addr, "b", true))
-            .whole()
+            .collect()
             .await;
         assert_eq!(whole.end.outcome, Outcome::Answered);
         assert_eq!((service.runs()["b"], service.connections()), (1, 2));
--- a/crates/endpoints/tests/stand_ins.rs
+++ b/crates/endpoints/tests/stand_ins.rs
@@ -42,7 +42,7 @@
                 spawn(
                     client
                         .call(stream_call(engine.addr, &n.to_string(), 20))
-                        .whole(),
+                        .collect(),
                 )
             })
             .collect();
@@ -72,7 +72,11 @@
         engine.faults.order(Fault::ResetUnanswered, 1);
         let mut call = stream_call(engine.addr, "a", 100_000);
         call.idempotent = false;
-        let end = Client::new(Options::default()).call(call).whole().await.end;
+        let end = Client::new(Options::default())
+            .call(call)
+            .collect()
+            .await
+            .end;
         assert_eq!(end.outcome, Outcome::MayHaveRun);
         eventually("the engine stops", || {
             engine.load().running + engine.load().waiting == 0
@@ -88,13 +92,13 @@
         let engine = engine().await;
         engine.faults.order(Fault::Cut { after: 4 }, 1);
         let client = Client::new(Options::default());
-        let call = spawn(client.call(stream_call(engine.addr, "a", 60)).whole());
+        let call = spawn(client.call(stream_call(engine.addr, "a", 60)).collect());
         eventually("the engine runs it", || engine.runs().contains_key("a")).await;
         engine.leave(true);
         assert_eq!(call.await.end.outcome, Outcome::Answered);
         let end = client
             .call(stream_call(engine.addr, "b", 60))
-            .whole()
+            .collect()
             .await
             .end;
         assert_eq!((end.outcome, end.leaving), (Outcome::NotRun, true));
@@ -109,15 +113,15 @@
         let mut order = plain_call(service.addr, "order", false);
         order.path = "/admin/fault".to_owned();
         order.body = br#"{"fault": {"kind": "cut", "after": 3}, "count": 2}"#[..].into();
-        assert_eq!(client.call(order).whole().await.status, 200);
+        assert_eq!(client.call(order).collect().await.status, 200);
         for (id, cause) in [
-            ("a", Some(CallError::Cut)),
-            ("b", Some(CallError::Cut)),
+            ("a", Some(CallError::Truncated)),
+            ("b", Some(CallError::Truncated)),
             ("c", None),
         ] {
             let end = client
                 .call(plain_call(service.addr, id, false))
-                .whole()
+                .collect()
                 .await
                 .end;
             assert_eq!(end.cause, cause);
@@ -136,7 +140,11 @@
         let client = Client::new(Options::default());
         let second = Duration::from_secs(10);
         client.load(engine.addr, second).await.expect("a report");
-        let call = spawn(client.call(stream_call(engine.addr, "a", 100_000)).whole());
+        let call = spawn(
+            client
+                .call(stream_call(engine.addr, "a", 100_000))
+                .collect(),
+        );
         eventually("the engine runs it", || engine.runs().contains_key("a")).await;
         sleep(Duration::from_millis(1)).await;
         let load = client.load(engine.addr, second).await.expect("a report");
--- a/crates/endpoints/tests/stream_faults.rs
+++ b/crates/endpoints/tests/stream_faults.rs
@@ -13,9 +13,9 @@
     endpoints::{
         CallError,
         Client,
+        CompleteAnswer, //
         Event,
         Options,
-        Whole, //
     },
     policy::Outcome,
     standins::{
@@ -35,12 +35,12 @@
 }
 
 /// Makes a call with these faults in turn, and returns its answer and the right text.
-async fn with(engine: &Handle, faults: &[Fault], idempotent: bool) -> (Whole, String) {
+async fn with(engine: &Handle, faults: &[Fault], idempotent: bool) -> (CompleteAnswer, String) {
     faults.iter().for_each(|f| engine.faults.order(*f, 1));
     let mut call = stream_call(engine.addr, "a", TOKENS);
     call.idempotent = idempotent;
     let right = expected(&call.body);
-    (client().call(call).whole().await, right)
+    (client().call(call).collect().await, right)
 }
 
 async fn resumes(faults: &[Fault]) {
@@ -161,7 +161,7 @@
             }
         }
         drop(engine);
-        let end = answer.whole().await.end;
+        let end = answer.collect().await.end;
         assert_eq!(end.outcome, Outcome::MayHaveRun);
         assert!(matches!(end.cause, Some(CallError::Connect(_))), "{end:?}");
     });
@@ -202,7 +202,7 @@
             let mut call = stream_call(engine.addr, "a", 2);
             call.silence_timeout = Duration::from_millis(50);
             let right = expected(&call.body);
-            let whole = client().call(call).whole().await;
+            let whole = client().call(call).collect().await;
             assert_eq!(whole.end.outcome, Outcome::Answered, "{:?}", whole.end);
             assert_eq!(text(&whole.body), right);
             assert_eq!(engine.runs()["a"], 1);
@@ -260,7 +260,7 @@
         let engine = engine().await;
         let mut call = stream_call(engine.addr, "a", 100_000);
         call.deadline = std::time::Instant::now() + Duration::from_millis(200);
-        let end = client().call(call).whole().await.end;
+        let end = client().call(call).collect().await.end;
         assert_eq!(end.outcome, Outcome::MayHaveRun);
         assert_eq!(end.cause, Some(CallError::Deadline));
         eventually("the engine stops", || {
