--- a/src/cli/call.rs
+++ b/src/cli/call.rs
@@ -123,7 +123,7 @@
     );
     call.method = method.to_owned();
     call.deadline = flags.deadline.map(Into::into);
-    call.once = flags.once;
+    call.at_most_once = flags.once;
     if flags.prompt.is_some() {
         let json = ("content-type".to_owned(), "application/json".to_owned());
         call.headers.push(json);
@@ -146,7 +146,7 @@
         "refused": answer.refused,
         "router": answer.router,
         "ticket": answer.ticket,
-        "tries": answer.tries,
+        "tries": answer.attempts,
         "body": String::from_utf8_lossy(&answer.body),
     })
 }
--- a/src/router/addresses.rs
+++ b/src/router/addresses.rs
@@ -7,11 +7,11 @@
     },
     callers::{
         Address,
+        AddressList,
+        AddressListQuery,
+        Reason, //
         Refused,
         Response,
-        Where,
-        WhereQuery,
-        Why, //
     },
     policy::{
         members::{
@@ -36,12 +36,12 @@
 
 impl Router {
     /// Answers which addresses to use for a service, in order of preference.
-    pub(crate) fn address_response(&self, query: &WhereQuery) -> Response {
+    pub(crate) fn address_response(&self, query: &AddressListQuery) -> Response {
         if let Err(refused) = self.ready() {
             return refused.into();
         }
         if let Err(e) = self.fleet().service(query.service.as_str()) {
-            return Refused::new(Why::UnknownService, e.to_string()).into();
+            return Refused::new(Reason::UnknownService, e.to_string()).into();
         }
         let mut addresses = self.ranked_addresses(query);
         // There may be no other router, for example when all shut down at once.
@@ -51,7 +51,7 @@
         let tickets = if self.is_leaving() { 0 } else { query.tickets };
         let now = self.now();
         let issued = lock(&self.tickets).issue(tickets, now);
-        let answer = Where {
+        let answer = AddressList {
             addresses,
             keep_ms: ADDRESS_TTL_MS,
             tickets: issued.iter().map(ToString::to_string).collect(),
@@ -60,7 +60,7 @@
         (&answer).into()
     }
 
-    fn ranked_addresses(&self, query: &WhereQuery) -> Vec<Address> {
+    fn ranked_addresses(&self, query: &AddressListQuery) -> Vec<Address> {
         let view = lock(&self.members).view();
         let slots = self.owned_slots(query);
         let total: u32 = slots.values().sum();
@@ -101,7 +101,7 @@
             .collect()
     }
 
-    fn owned_slots(&self, query: &WhereQuery) -> HashMap<String, u32> {
+    fn owned_slots(&self, query: &AddressListQuery) -> HashMap<String, u32> {
         let owners = lock(&self.dispatch).preferred_routers(&query.service);
         let mut slots: HashMap<String, u32> = HashMap::new();
         for o in owners {
--- a/src/router/claims.rs
+++ b/src/router/claims.rs
@@ -15,9 +15,9 @@
         },
     },
     callers::{
+        Reason, //
         Refused,
         Response,
-        Why, //
     },
     policy::{
         members::State,
@@ -105,10 +105,10 @@
     /// The response to the caller, if the request may not be started.
     pub(crate) async fn claim(&self, admitted: &AdmittedRequest) -> Result<Grant, Box<Response>> {
         let text = admitted.ticket.as_deref();
-        let text = text.ok_or_else(|| reject(Why::TicketNeeded, TICKET_NEEDED))?;
+        let text = text.ok_or_else(|| reject(Reason::TicketNeeded, TICKET_NEEDED))?;
         let ticket: Ticket = text
             .parse()
-            .map_err(|e| reject(Why::BadHeader, &format!("{e}")))?;
+            .map_err(|e| reject(Reason::BadHeader, &format!("{e}")))?;
         let now = self.now();
         let mut claim = lock(&self.tickets).claim(&ticket, now);
         for _ in 0..MAX_TRANSFERS {
@@ -123,7 +123,7 @@
             let now = self.now();
             claim = lock(&self.tickets).apply_reply(&ticket, reply, now);
         }
-        Err(reject(Why::TicketOrphaned, TICKET_ORPHANED))
+        Err(reject(Reason::TicketOrphaned, TICKET_ORPHANED))
     }
 
     async fn query_holder(
@@ -149,7 +149,7 @@
     /// A holder that is paused or disconnected may come back with its tickets, even after it
     /// was declared dead. One that left, or was restarted, never will.
     fn unreachable_holder(&self, transfer: &TransferRequest) -> Response {
-        let refused = Refused::new(Why::TicketOrphaned, TICKET_ORPHANED);
+        let refused = Refused::new(Reason::TicketOrphaned, TICKET_ORPHANED);
         let members = lock(&self.members);
         let holder = members.get(&transfer.holder.router);
         let same = holder.filter(|m| m.incarnation == transfer.holder.incarnation);
@@ -188,7 +188,7 @@
 const TICKET_REUSED: &str = "this ticket was used for another request, and this one did not run; \
     ask for a ticket of its own";
 
-fn reject(why: Why, message: &str) -> Box<Response> {
+fn reject(why: Reason, message: &str) -> Box<Response> {
     Box::new(Refused::new(why, message).into())
 }
 
@@ -197,16 +197,16 @@
     let refused = match claim {
         Claim::Done(record) => return recorded_response(record, fingerprint),
         Claim::Running => Refused::new(
-            Why::TicketRunning,
+            Reason::TicketRunning,
             "a request with this ticket runs; ask again with the same ticket for its answer",
         )
         .retry_after(RUNNING_RETRY_AFTER),
         Claim::Expired => Refused::new(
-            Why::TicketExpired,
+            Reason::TicketExpired,
             "the ticket expired unused; ask for a new one",
         ),
         Claim::Unknown | Claim::Granted(_) | Claim::AskHolder(_) => Refused::new(
-            Why::TicketOrphaned,
+            Reason::TicketOrphaned,
             "nobody remembers this ticket any more, so the request may have run; look \
              whether it did before you ask for a new one",
         ),
@@ -224,18 +224,18 @@
         .as_ref()
         .is_some_and(|r| r.fingerprint != fingerprint)
     {
-        return Refused::new(Why::TicketUsed, TICKET_REUSED)
+        return Refused::new(Reason::TicketUsed, TICKET_REUSED)
             .outcome(Outcome::NotRun)
             .into();
     }
     match recorded.and_then(|r| r.answer) {
         Some(stored) => {
-            let mut response = Response::whole(stored.status, record.outcome, stored.body);
+            let mut response = Response::complete(stored.status, record.outcome, stored.body);
             response.headers = stored.headers;
             response
         }
         None => Refused::new(
-            Why::TicketUsed,
+            Reason::TicketUsed,
             format!(
                 "the request with this ticket ended ({}), and its answer is not kept",
                 record.outcome
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -10,12 +10,12 @@
         },
     },
     callers::{
-        Ask,
-        Gone,
+        DisconnectSignal,
+        IncomingRequest,
+        Reason, //
         Refused,
         Request,
         Response,
-        Why, //
     },
     operators::{
         Fleet,
@@ -42,10 +42,13 @@
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// Handles a request of a caller and returns the response.
-pub(crate) async fn handle(router: Arc<Router>, ask: Ask) -> Response {
+pub(crate) async fn handle(router: Arc<Router>, ask: IncomingRequest) -> Response {
     match ask {
-        Ask::Where { query, .. } => router.address_response(&query),
-        Ask::Request { request, gone } => {
+        IncomingRequest::Addresses { query, .. } => router.address_response(&query),
+        IncomingRequest::Request {
+            request,
+            disconnect: gone,
+        } => {
             let response = match admit(&router, *request) {
                 Ok(admitted) => serve(router, admitted, gone).await,
                 Err(refused) => refused.into(),
@@ -60,7 +63,7 @@
     }
 }
 
-async fn serve(router: Arc<Router>, admitted: AdmittedRequest, gone: Gone) -> Response {
+async fn serve(router: Arc<Router>, admitted: AdmittedRequest, gone: DisconnectSignal) -> Response {
     if admitted.idempotent {
         return RequestProgress::new(router, admitted, None).run(gone).await;
     }
@@ -78,7 +81,7 @@
 fn admit(router: &Router, r: Request) -> Result<AdmittedRequest, Refused> {
     if router.is_leaving() {
         return Err(Refused::new(
-            Why::Leaving,
+            Reason::Leaving,
             "this router is shutting down; ask another which address to use",
         )
         .retry_after(Duration::ZERO));
@@ -120,7 +123,7 @@
             return Ok(current.fleet.clone());
         }
         Err(Refused::new(
-            Why::NotReady,
+            Reason::NotReady,
             "this router has no configuration yet; ask another which address to use",
         )
         .retry_after(NOT_READY_RETRY_AFTER))
@@ -154,9 +157,9 @@
 
 fn unknown_name(e: UnknownName) -> Refused {
     let why = match &e {
-        UnknownName::Service(_) => Why::UnknownService,
-        UnknownName::Profile(_) => Why::UnknownProfile,
-        UnknownName::Workspace(_) => Why::UnknownWorkspace,
+        UnknownName::Service(_) => Reason::UnknownService,
+        UnknownName::Profile(_) => Reason::UnknownProfile,
+        UnknownName::Workspace(_) => Reason::UnknownWorkspace,
     };
     Refused::new(why, e.to_string())
 }
--- a/src/router/streaming.rs
+++ b/src/router/streaming.rs
@@ -20,7 +20,7 @@
         task, //
     },
     callers::{
-        Gone,
+        DisconnectSignal,
         Piece,
         Response, //
     },
@@ -57,7 +57,7 @@
     buffered: BufferedAnswer,
     answer: Answer,
     replica: ReplicaId,
-    gone: Gone,
+    gone: DisconnectSignal,
     /// The caller still reads the answer.
     caller_connected: bool,
     /// When tokens were last reported to the dispatch, and how many in all.
@@ -72,7 +72,7 @@
         buffered: BufferedAnswer,
         answer: Answer,
         replica: ReplicaId,
-        gone: Gone,
+        gone: DisconnectSignal,
     ) -> StreamedAnswer {
         StreamedAnswer {
             request,
--- a/src/router/tests/ends.rs
+++ b/src/router/tests/ends.rs
@@ -9,7 +9,7 @@
         Router, //
     },
     async_std::task,
-    callers::Gone,
+    callers::DisconnectSignal,
     fastrand::Rng,
     standins::{
         engine,
@@ -45,7 +45,7 @@
     let mut sent = request(service, profile, BODY);
     sent.ticket = Some(ticket);
     sent.deadline = Some(Duration::from_millis(rng.u64(1..3000)));
-    let gone = Gone::new();
+    let gone = DisconnectSignal::new();
     if rng.bool() {
         let (gone, hang_up_after) = (gone.clone(), Duration::from_micros(rng.u64(..60_000)));
         task::spawn(async move {
