--- a/crates/endpoints/src/body.rs
+++ b/crates/endpoints/src/body.rs
@@ -172,9 +172,7 @@
         match (self.framing, n) {
             (Framing::Remaining(_), 0) => return Err(CallError::Truncated),
             (_, 0) => return Ok(None),
-            (Framing::Remaining(remaining), n) => {
-                self.framing = Framing::Remaining(remaining - n as u64)
-            }
+            (Framing::Remaining(left), n) => self.framing = Framing::Remaining(left - n as u64),
             _ => {}
         }
         Ok(Some(buf))
