--- a/crates/callers/src/addresses.rs
+++ b/crates/callers/src/addresses.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        Reason, //
-        Refused,
+        Reason,
+        Refused, //
     },
     policy::{
         RouterId,
--- a/crates/callers/src/client/attempts.rs
+++ b/crates/callers/src/client/attempts.rs
@@ -6,9 +6,9 @@
         exchange::{
             bare_request,
             build_request,
-            AttemptResult, //
+            AttemptResult,
             Exchange,
-            OnChunk,
+            OnChunk, //
         },
         pool::Pool,
         Answer,
--- a/crates/callers/src/connection.rs
+++ b/crates/callers/src/connection.rs
@@ -12,11 +12,11 @@
         Body,
         DisconnectSignal,
         IncomingRequest,
-        Reason, //
+        Reason,
         Refused,
         Request,
         RequestId,
-        Response,
+        Response, //
     },
     async_h1::server::Encoder,
     async_std::{
--- a/crates/callers/src/lib.rs
+++ b/crates/callers/src/lib.rs
@@ -46,8 +46,8 @@
     },
     limits::Limits,
     refused::{
-        Reason, //
-        Refused,
+        Reason,
+        Refused, //
     },
     request::{
         IncomingRequest,
--- a/crates/callers/src/parse.rs
+++ b/crates/callers/src/parse.rs
@@ -15,10 +15,10 @@
         },
         AddressListQuery,
         Limits,
-        Reason, //
+        Reason,
         Refused,
         Request,
-        RequestId,
+        RequestId, //
     },
     std::{
         fmt,
--- a/crates/callers/src/request.rs
+++ b/crates/callers/src/request.rs
@@ -2,8 +2,8 @@
 
 use {
     crate::{
-        AddressListQuery, //
-        DisconnectSignal,
+        AddressListQuery,
+        DisconnectSignal, //
     },
     policy::{
         IdError,
--- a/crates/callers/src/response.rs
+++ b/crates/callers/src/response.rs
@@ -11,9 +11,9 @@
             RETRY_MS, //
         },
         stream_body::StreamBody,
-        AddressList, //
+        AddressList,
         Refused,
-        RequestId,
+        RequestId, //
     },
     async_std::channel::Receiver,
     http_types::{
--- a/crates/callers/src/server.rs
+++ b/crates/callers/src/server.rs
@@ -7,9 +7,9 @@
         socket_options::set_socket_options,
         IncomingRequest,
         Limits,
-        Reason, //
+        Reason,
         Refused,
-        Response,
+        Response, //
     },
     async_std::{
         channel::{
--- a/crates/callers/src/stream_body.rs
+++ b/crates/callers/src/stream_body.rs
@@ -3,8 +3,8 @@
 use {
     crate::{
         Piece,
-        Reason, //
-        Refused,
+        Reason,
+        Refused, //
     },
     async_std::channel::Receiver,
     futures_lite::{
--- a/crates/callers/tests/client.rs
+++ b/crates/callers/tests/client.rs
@@ -18,13 +18,13 @@
         IncomingRequest,
         Limits,
         Piece,
-        Reason, //
+        Reason,
         Refused,
-        Response,
+        Response, //
     },
     common::{
-        start, //
-        with_timeout,
+        start,
+        with_timeout, //
     },
     futures_lite::{
         AsyncReadExt,
--- a/crates/callers/tests/client_body.rs
+++ b/crates/callers/tests/client_body.rs
@@ -5,18 +5,18 @@
 use {
     async_std::task,
     callers::{
-        AddressList, //
+        AddressList,
         Call,
         Client,
         ClientSettings,
         IncomingRequest,
         Limits,
-        Response,
+        Response, //
     },
     common::{
         echo,
-        start, //
-        with_timeout,
+        start,
+        with_timeout, //
     },
     policy::Outcome,
     std::{
--- a/crates/callers/tests/server.rs
+++ b/crates/callers/tests/server.rs
@@ -12,10 +12,10 @@
         IncomingRequest,
         Limits,
         Piece,
-        Reason, //
+        Reason,
         Refused,
         Response,
-        Server,
+        Server, //
     },
     common::{
         assert_serves,
--- a/crates/endpoints/src/lib.rs
+++ b/crates/endpoints/src/lib.rs
@@ -26,8 +26,8 @@
     client::{
         Answer,
         Client,
-        CompleteAnswer, //
-        Options,
+        CompleteAnswer,
+        Options, //
     },
     error::CallError,
     event::{
--- a/crates/endpoints/src/run/forward_stream.rs
+++ b/crates/endpoints/src/run/forward_stream.rs
@@ -8,8 +8,8 @@
         header_names,
         sse::{
             Splitter,
-            Sse, //
-            SseKind,
+            Sse,
+            SseKind, //
         },
         CallError,
         End,
--- a/crates/endpoints/tests/odd_answers.rs
+++ b/crates/endpoints/tests/odd_answers.rs
@@ -23,9 +23,9 @@
     endpoints::{
         CallError,
         Client,
-        CompleteAnswer, //
+        CompleteAnswer,
         Header,
-        Options,
+        Options, //
     },
     policy::Outcome,
     std::time::Duration,
--- a/crates/endpoints/tests/plain_faults.rs
+++ b/crates/endpoints/tests/plain_faults.rs
@@ -12,8 +12,8 @@
     endpoints::{
         CallError,
         Client,
-        CompleteAnswer, //
-        Options,
+        CompleteAnswer,
+        Options, //
     },
     policy::Outcome,
     standins::{
--- a/crates/endpoints/tests/stream_faults.rs
+++ b/crates/endpoints/tests/stream_faults.rs
@@ -13,9 +13,9 @@
     endpoints::{
         CallError,
         Client,
-        CompleteAnswer, //
+        CompleteAnswer,
         Event,
-        Options,
+        Options, //
     },
     policy::Outcome,
     standins::{
--- a/crates/gateway/src/serve/request_log.rs
+++ b/crates/gateway/src/serve/request_log.rs
@@ -4,7 +4,7 @@
     super::{
         admit::Request,
         local_answer::LocalAnswer,
-        outcome::AbortCause, //
+        outcome::AbortCause,
         permit::{
             SilenceMonitor,
             SlotPermit, //
@@ -12,7 +12,7 @@
         progress::{
             budget_left,
             RequestProgress, //
-        },
+        }, //
     },
     crate::state::Shared,
     std::time::Instant,
--- a/crates/gateway/src/serve/retry.rs
+++ b/crates/gateway/src/serve/retry.rs
@@ -25,8 +25,8 @@
             record_request,
             RequestProgress, //
         },
-        stream::forward_stream, //
-        stream_source::StreamSource,
+        stream::forward_stream,
+        stream_source::StreamSource, //
     },
     crate::state::Shared,
     async_std::net::TcpStream,
--- a/crates/policy/src/actives/mod.rs
+++ b/crates/policy/src/actives/mod.rs
@@ -27,8 +27,8 @@
     peer::{
         router_key,
         HelloKind,
-        Peer, //
-        RouterInfo,
+        Peer,
+        RouterInfo, //
     },
     recipients::{
         Recipients,
--- a/crates/policy/tests/placement/load.rs
+++ b/crates/policy/tests/placement/load.rs
@@ -13,10 +13,10 @@
             Load,
             Part,
             Pick,
-            PlacementRequest, //
+            PlacementRequest,
             Prompt,
             ReplicaKey,
-            Tuning,
+            Tuning, //
         },
         quota::{
             Quota,
--- a/crates/policy/tests/placement/pick.rs
+++ b/crates/policy/tests/placement/pick.rs
@@ -9,10 +9,10 @@
         Load,
         Part,
         Pick,
-        PlacementRequest, //
+        PlacementRequest,
         Prompt,
         ReplicaKey,
-        Tuning,
+        Tuning, //
     },
     quota::UsageStanding,
     AnswerState,
--- a/crates/policy/tests/placement/plain.rs
+++ b/crates/policy/tests/placement/plain.rs
@@ -6,8 +6,8 @@
         Latencies,
         Load,
         Pick,
-        PlainCandidate, //
-        ReplicaKey,
+        PlainCandidate,
+        ReplicaKey, //
     },
     AnswerState,
     ReplicaId,
--- a/src/errors.rs
+++ b/src/errors.rs
@@ -6,8 +6,8 @@
         SettingsError, //
     },
     callers::{
-        Reason, //
-        Refused,
+        Reason,
+        Refused, //
     },
     kvstore::store::{
         ApplyError,
--- a/src/router/addresses.rs
+++ b/src/router/addresses.rs
@@ -9,9 +9,9 @@
         Address,
         AddressList,
         AddressListQuery,
-        Reason, //
+        Reason,
         Refused,
-        Response,
+        Response, //
     },
     policy::{
         members::{
--- a/src/router/changes/tests.rs
+++ b/src/router/changes/tests.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        ChangeLog, //
-        Changes,
+        ChangeLog,
+        Changes, //
     },
     kvstore::{
         Instance,
--- a/src/router/claims.rs
+++ b/src/router/claims.rs
@@ -2,7 +2,7 @@
 
 use {
     super::{
-        admitted::AdmittedRequest, //
+        admitted::AdmittedRequest,
         completion::header_pairs,
         messages::{
             Answer,
@@ -12,12 +12,12 @@
         state::{
             lock,
             Router, //
-        },
+        }, //
     },
     callers::{
-        Reason, //
+        Reason,
         Refused,
-        Response,
+        Response, //
     },
     policy::{
         members::State,
--- a/src/router/completion.rs
+++ b/src/router/completion.rs
@@ -6,9 +6,9 @@
         SILENCE_TIMEOUT, //
     },
     callers::{
-        Reason, //
+        Reason,
         Refused,
-        Response,
+        Response, //
     },
     endpoints::{
         CallError,
--- a/src/router/progress.rs
+++ b/src/router/progress.rs
@@ -2,14 +2,14 @@
 
 use {
     super::{
-        admitted::AdmittedRequest, //
+        admitted::AdmittedRequest,
         claims::RecordedAnswer,
         completion::{
             completion_of,
             failure,
-            header_pairs, //
+            header_pairs,
             hung_up_response,
-            internal_error,
+            internal_error, //
         },
         counters::CounterKey,
         jobs::JobDecision,
@@ -17,7 +17,7 @@
             lock,
             Router, //
         },
-        streaming::StreamedAnswer,
+        streaming::StreamedAnswer, //
     },
     async_std::channel::Receiver,
     callers::{
--- a/src/router/requests.rs
+++ b/src/router/requests.rs
@@ -2,20 +2,20 @@
 
 use {
     super::{
-        admitted::AdmittedRequest, //
+        admitted::AdmittedRequest,
         progress::RequestProgress,
         state::{
             lock,
             Router, //
-        },
+        }, //
     },
     callers::{
         DisconnectSignal,
         IncomingRequest,
-        Reason, //
+        Reason,
         Refused,
         Request,
-        Response,
+        Response, //
     },
     operators::{
         Fleet,
--- a/src/router/start.rs
+++ b/src/router/start.rs
@@ -16,14 +16,14 @@
         loads,
         report,
         requests,
-        run_times::RunTimes, //
+        run_times::RunTimes,
         shutdown,
         state::{
             lock,
             CurrentConfig,
             Listing,
             Router, //
-        },
+        }, //
     },
     crate::{
         conf::{
--- a/src/router/start/tests.rs
+++ b/src/router/start/tests.rs
@@ -1,7 +1,7 @@
 use {
     super::{
-        new_router, //
-        supervise,
+        new_router,
+        supervise, //
     },
     crate::{
         conf::Settings,
--- a/src/router/state.rs
+++ b/src/router/state.rs
@@ -7,8 +7,8 @@
         counters::RequestCounters,
         delta::History,
         jobs::{
-            JobDecision, //
-            PendingJobs,
+            JobDecision,
+            PendingJobs, //
         },
         messages::PeerMessage,
         run_times::RunTimes, //
--- a/tests/call.rs
+++ b/tests/call.rs
@@ -12,11 +12,11 @@
         IncomingRequest,
         Limits,
         Piece,
-        Reason, //
+        Reason,
         Refused,
         Request,
         Response,
-        Server,
+        Server, //
     },
     policy::Outcome,
     std::{
