--- a/src/router/heartbeats.rs
+++ b/src/router/heartbeats.rs
@@ -181,7 +181,7 @@
     }
 }
 
-fn local_addresses(router: &Router) -> RouterAddresses {
+pub(crate) fn local_addresses(router: &Router) -> RouterAddresses {
     RouterAddresses {
         addr: router.settings.peers.advertise,
         caller_addr: router.settings.callers.advertise,
