--- a/crates/callers/src/client/cache.rs
+++ b/crates/callers/src/client/cache.rs
@@ -25,7 +25,7 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    addresses: HashMap<ServiceId, (AddressList, Instant)>,
+    lists: HashMap<ServiceId, (AddressList, Instant)>,
     tickets: HashMap<(ServiceId, SocketAddr), Vec<Ticket>>,
 }
 
@@ -43,14 +43,14 @@
     /// Returns the cached address list unless it has expired.
     pub(crate) fn addresses(&self, service: &ServiceId) -> Option<AddressList> {
         let inner = self.lock();
-        let (list, expires_at) = inner.addresses.get(service)?;
+        let (list, expires_at) = inner.lists.get(service)?;
         (Instant::now() < *expires_at).then(|| list.clone())
     }
 
     /// Returns the addresses of the last list, expired or not.
     pub(crate) fn last_addresses(&self, service: &ServiceId) -> Vec<SocketAddr> {
         let inner = self.lock();
-        let cached = inner.addresses.get(service);
+        let cached = inner.lists.get(service);
         cached.map_or_else(Vec::new, |(list, _)| {
             list.addresses.iter().map(|a| a.address).collect()
         })
@@ -59,12 +59,12 @@
     pub(crate) fn store_addresses(&self, service: &ServiceId, list: &AddressList) {
         let expires_at = Instant::now() + list.keep();
         let entry = (list.clone(), expires_at);
-        self.lock().addresses.insert(service.clone(), entry);
+        self.lock().lists.insert(service.clone(), entry);
     }
 
     /// Marks the address list as expired, so that the next call fetches a new one.
     pub(crate) fn expire_addresses(&self, service: &ServiceId) {
-        if let Some((_, expires_at)) = self.lock().addresses.get_mut(service) {
+        if let Some((_, expires_at)) = self.lock().lists.get_mut(service) {
             *expires_at = Instant::now();
         }
     }
--- a/crates/callers/src/server.rs
+++ b/crates/callers/src/server.rs
@@ -166,17 +166,17 @@
         lock(&self.shared.open).total
     }
 
-    fn start_connection(&self, socket: TcpStream, peer: SocketAddr, guard: &Sender<()>) {
-        if let Err(e) = set_socket_options(&socket) {
+    fn start_connection(&self, stream: TcpStream, peer: SocketAddr, guard: &Sender<()>) {
+        if let Err(e) = set_socket_options(&stream) {
             log::debug!("callers: cannot set socket options for {peer}: {e}");
             return;
         }
         let Some(permit) = self.admit(peer.ip(), guard) else {
-            return self.reject(socket, peer);
+            return self.reject(stream, peer);
         };
         let connection = Connection {
             shared: self.shared.clone(),
-            socket: CallerSocket::new(socket),
+            socket: CallerSocket::new(stream),
             peer,
             stop: self.stopped.clone(),
         };
